--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -23,10 +23,12 @@
     sent = [play.world.sent.get(one.name, 0) / seconds for one in play.members]
     votes = [b for one, b in zip(play.members, sent, strict=True) if one.name in play.plan.voters]
     others = [b for one, b in zip(play.members, sent, strict=True) if one.name not in play.plan.voters]
-    return (f"{members:4}  watch {watch:6.0f}  bytes/s voter {sum(votes) / len(votes):8.0f}  "
-            f"other {sum(others) / max(1, len(others)):7.0f}  "
-            f"messages/s {play.world.messages / members / seconds:6.1f}  "
-            f"CPU ms/s {1000.0 * cpu / members / seconds:5.2f}")
+    return (
+        f"{members:4}  watch {watch:6.0f}  bytes/s voter {sum(votes) / len(votes):8.0f}  "
+        f"other {sum(others) / max(1, len(others)):7.0f}  "
+        f"messages/s {play.world.messages / members / seconds:6.1f}  "
+        f"CPU ms/s {1000.0 * cpu / members / seconds:5.2f}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/register_flush.py
+++ b/benchmarks/register_flush.py
@@ -1,6 +1,6 @@
 """What a change of a record costs a voter: answers with a flush, alone and several under one, and without.
 
-    .venv/bin/python -m benchmarks.register_flush [FOLDER]
+.venv/bin/python -m benchmarks.register_flush [FOLDER]
 """
 
 from __future__ import annotations
@@ -26,8 +26,10 @@
     times = HdrHistogram(1, 60_000_000, 3)
     begun = time.perf_counter()
     for i in range(ROUNDS):
-        asked = [Accept(f"key-{(i + j) % KEYS}", Ballot(i + 1, "p"), Record(i + 1, b"x" * 100, f"p:{i}"))
-                 for j in range(together)]
+        asked = [
+            Accept(f"key-{(i + j) % KEYS}", Ballot(i + 1, "p"), Record(i + 1, b"x" * 100, f"p:{i}"))
+            for j in range(together)
+        ]
         start = time.perf_counter_ns()
         voter.answers(asked)
         times.record_value(max(1, (time.perf_counter_ns() - start) // 1000))
--- a/myrtlecrank/cli.py
+++ b/myrtlecrank/cli.py
@@ -53,8 +53,11 @@
 
 
 OPERATORS = click.option(
-    "--operators", "operators_file", metavar="FILE",
-    help="The operators' file; else MYRTLECRANK_OPERATORS, else deploy/operators.toml where it is there.")
+    "--operators",
+    "operators_file",
+    metavar="FILE",
+    help="The operators' file; else MYRTLECRANK_OPERATORS, else deploy/operators.toml where it is there.",
+)
 
 
 @main.command()
@@ -96,8 +99,10 @@
         click.echo(f"layer below {told.records[0]}:{told.records[1]}")
     click.echo(f"{facts.cores} cores, {facts.memory_kb:.0f} KB, {told.sockets} sockets")
     for group in facts.groups:
-        click.echo(f"{group.name}: {group.kind.value}, SLO time {group.slo:.0f} ms, "
-                   f"async timeout {group.timeout:.0f} ms, benefit {group.benefit:g}")
+        click.echo(
+            f"{group.name}: {group.kind.value}, SLO time {group.slo:.0f} ms, "
+            f"async timeout {group.timeout:.0f} ms, benefit {group.benefit:g}"
+        )
     click.echo(f"operators' file: {operators.path or 'none'}")
     for name in subsystems.SECTIONS:
         section = getattr(operators, name)
--- a/myrtlecrank/core/actor.py
+++ b/myrtlecrank/core/actor.py
@@ -80,9 +80,28 @@
 class Entry:
     """One exchange in the table, from its arrival until nothing can ask for it any more."""
 
-    __slots__ = ("answered", "asked", "called_at", "doubt", "earlier", "ended_at", "ex", "genuine",
-                 "handed", "handed_by", "joiners", "launch", "outcome", "print", "result", "rivals",
-                 "running", "stop", "stopping", "ticket")
+    __slots__ = (
+        "answered",
+        "asked",
+        "called_at",
+        "doubt",
+        "earlier",
+        "ended_at",
+        "ex",
+        "genuine",
+        "handed",
+        "handed_by",
+        "joiners",
+        "launch",
+        "outcome",
+        "print",
+        "result",
+        "rivals",
+        "running",
+        "stop",
+        "stopping",
+        "ticket",
+    )
 
     def __init__(self, ticket: Ticket, ex: port.Exchange, earlier: Entry | None) -> None:
         self.ticket, self.ex, self.earlier = ticket, ex, earlier
@@ -389,8 +408,9 @@
             self._forget(entry)
         self._tidy(entry)
 
-    def _answer(self, entry: Entry, verdict: Verdict, result: bytes = b"", wait: float = 0.0,
-                last: bool = False) -> None:
+    def _answer(
+        self, entry: Entry, verdict: Verdict, result: bytes = b"", wait: float = 0.0, last: bool = False
+    ) -> None:
         if not entry.answered:
             self._answered(entry)
             given_up = verdict is not Verdict.COMPLETED
--- a/myrtlecrank/core/letters.py
+++ b/myrtlecrank/core/letters.py
@@ -182,7 +182,16 @@
 
 
 Event = (
-    Arrived | CallersLeft | Greeted | Parted | Unsent | RunEnded | AtCall | CallEnded | Sampled | Leave
+    Arrived
+    | CallersLeft
+    | Greeted
+    | Parted
+    | Unsent
+    | RunEnded
+    | AtCall
+    | CallEnded
+    | Sampled
+    | Leave
     | Adopt
 )
 Command = Launch | Freeze | Sample | Deliver | Forgo
--- a/myrtlecrank/edge/front.py
+++ b/myrtlecrank/edge/front.py
@@ -183,8 +183,10 @@
         pace.beat(self.board.late)
         held, pace.held_back = pace.held_back, 0
         if held:
-            logger.info("connections come faster than they are accepted: {} a second at the most",
-                        round(pace.per_second(self.board.warmth)))
+            logger.info(
+                "connections come faster than they are accepted: {} a second at the most",
+                round(pace.per_second(self.board.warmth)),
+            )
 
     def emptied(self) -> bool:
         """Whether no caller is left, nor any that waits to be accepted."""
--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -46,14 +46,22 @@
 
 
 def plan_of(bounds: Bounds) -> Plan:
-    pace = Pace(bounds.probe_ms, bounds.probe_reply_ms, bounds.helpers, bounds.suspect_ms, FORGET_MS,
-                10.0 * bounds.probe_ms)
+    pace = Pace(
+        bounds.probe_ms,
+        bounds.probe_reply_ms,
+        bounds.helpers,
+        bounds.suspect_ms,
+        FORGET_MS,
+        10.0 * bounds.probe_ms,
+    )
     duties = bounds.duties.items()
-    works = tuple(Work(name, one.every_ms, one.deadline_ms, one.back_off_ms, one.share)
-                  for name, one in duties)
+    works = tuple(
+        Work(name, one.every_ms, one.deadline_ms, one.back_off_ms, one.share) for name, one in duties
+    )
     terms = Terms.of(bounds.lease_ms, bounds.drift, bounds.lease_ms / 4.0)
-    return Plan(bounds.voters, works, terms, pace, bounds.reply_ms, bounds.even_ms, bounds.watch_ms,
-                bounds.together)
+    return Plan(
+        bounds.voters, works, terms, pace, bounds.reply_ms, bounds.even_ms, bounds.watch_ms, bounds.together
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,8 +101,10 @@
         try:
             memory = self.disk.load()
             if memory is None and name in bounds.voters:
-                logger.warning("this voter has no memory: it abstains until all others have told it theirs "
-                               "(a new fleet is begun by `myrtlecrank fleet found`)")
+                logger.warning(
+                    "this voter has no memory: it abstains until all others have told it theirs "
+                    "(a new fleet is begun by `myrtlecrank fleet found`)"
+                )
         except TornError as error:
             logger.error("this voter's memory {}: it abstains until all others have told it theirs", error)
         self.voter = Voter(name, bounds.voters, memory, self._keep, bounds.name, bounds.trust_disk, start)
@@ -105,8 +115,11 @@
         kept: bool = get_hub().threadpool.apply(self.disk.write, (raw,))
         if kept is self.full:
             self.full = not kept
-            logger.log("INFO" if kept else "ERROR", "this voter's disk {}",
-                       "takes writes again" if kept else "refuses a write: it says nothing until it does")
+            logger.log(
+                "INFO" if kept else "ERROR",
+                "this voter's disk {}",
+                "takes writes again" if kept else "refuses a write: it says nothing until it does",
+            )
         return kept
 
     def put(self, sender: str, message: VoterLetter) -> None:
@@ -150,8 +163,10 @@
         self.links = Links(bounds.name, name, addresses, bounds.queue, self.heard, self.asked)
         # Whoever has a folder may be made a voter while it runs.
         self.voter = VoterActor(bounds, name, start, self.send) if bounds.folder else None
-        self.receivers = {one: Receiver(address(duty.to) or ("", 0), self.fleet.ident)
-                          for one, duty in bounds.duties.items()}
+        self.receivers = {
+            one: Receiver(address(duty.to) or ("", 0), self.fleet.ident)
+            for one, duty in bounds.duties.items()
+        }
         self.away_since: float | None = None  # since when the register has not answered
         self.away_told = False
 
@@ -175,8 +190,10 @@
         self.mailbox.wake()
         left = waiting(self.bounds, bounds)
         if "voters" in left:
-            logger.warning("[fleet] voters are replaced by `myrtlecrank fleet replace-voters` alone; the "
-                           "list is whom a new start asks first")
+            logger.warning(
+                "[fleet] voters are replaced by `myrtlecrank fleet replace-voters` alone; the "
+                "list is whom a new start asks first"
+            )
             left.remove("voters")
         if left:
             logger.warning("[fleet] these take a new start and stay as they were: {}", ", ".join(left))
@@ -251,13 +268,16 @@
             self.away_since = now
         elif not self.away_told and now - self.away_since >= self.bounds.lease_ms:
             self.away_told = True
-            logger.warning("the fleet's register does not answer: no majority of its voters is there, "
-                           "nothing new is owned")
+            logger.warning(
+                "the fleet's register does not answer: no majority of its voters is there, "
+                "nothing new is owned"
+            )
 
     def _effect(self, effect: Effect) -> None:
         duty = self.fleet.duties[effect.duty]
         taken = self.receivers[effect.duty].offer(
-            effect, lambda: duty.owns(mono_ms()) == effect.epoch, lambda: effect.until - mono_ms())
+            effect, lambda: duty.owns(mono_ms()) == effect.epoch, lambda: effect.until - mono_ms()
+        )
         self.mailbox.post(Did(effect, taken))
 
     # -- operators
@@ -318,5 +338,13 @@
             return [{"voter": None, "voters": names, "answers": self.fleet.reached}]
         state = "votes" if voter.voting else f"abstains, heard {len(voter.heard)} of {len(voter.others)}"
         memory = voter.memory
-        return [{"voter": self.name, "state": state, "boot": memory.boot, "keys": len(memory.slots),
-                 "disk": not voter.failed, "answers": self.fleet.reached}]
+        return [
+            {
+                "voter": self.name,
+                "state": state,
+                "boot": memory.boot,
+                "keys": len(memory.slots),
+                "disk": not voter.failed,
+                "answers": self.fleet.reached,
+            }
+        ]
--- a/myrtlecrank/fleet/bounds.py
+++ b/myrtlecrank/fleet/bounds.py
@@ -33,7 +33,8 @@
     folder: str = words("where a voter keeps its memory; must outlast the process")
     voters: tuple[str, ...] = words("members that keep the register; an odd number", default=())
     trust_disk: bool = figure(
-        False, what="a voter that restarts with its file votes at once, without asking all others")
+        False, what="a voter that restarts with its file votes at once, without asking all others"
+    )
     lease_ms: float = figure(2000.0, 200.0, 120_000.0, "an owner that hears nothing stops after this")
     drift: float = figure(0.01, 0.0, 0.2, "the most by which any clock runs fast or slow, as a share")
     reply_ms: float = figure(250.0, 10.0, 10_000.0, "how long a round of the register waits")
@@ -88,11 +89,15 @@
         if address(duty.to) is None:
             wrong.append(f"duties.{name} to: {duty.to!r} is not an IPv4 address with a port")
         if duty.deadline_ms > bounds.lease_ms:
-            wrong.append(f"duties.{name} deadline_ms: is {duty.deadline_ms:g}, above lease_ms "
-                         f"{bounds.lease_ms:g}: no owner could end such a step")
+            wrong.append(
+                f"duties.{name} deadline_ms: is {duty.deadline_ms:g}, above lease_ms "
+                f"{bounds.lease_ms:g}: no owner could end such a step"
+            )
     if 4.0 * bounds.reply_ms > bounds.lease_ms:
-        wrong.append(f"reply_ms: is {bounds.reply_ms:g}; four of them have to fit into lease_ms "
-                     f"{bounds.lease_ms:g}, or a renewal that is repeated once comes too late")
+        wrong.append(
+            f"reply_ms: is {bounds.reply_ms:g}; four of them have to fit into lease_ms "
+            f"{bounds.lease_ms:g}, or a renewal that is repeated once comes too late"
+        )
     if bounds.probe_reply_ms >= bounds.probe_ms:
         wrong.append(f"probe_reply_ms: is {bounds.probe_reply_ms:g}, not below probe_ms {bounds.probe_ms:g}")
     return wrong
@@ -109,9 +114,15 @@
     """What of a new section holds at once in a running process: how duties that it has are worked on,
     and how many steps go together. All else is as it was until a new start."""
     duties = {
-        name: replace(one, every_ms=told.every_ms, deadline_ms=told.deadline_ms, back_off_ms=told.back_off_ms,
-                      share=told.share)
-        for name, one in old.duties.items() if (told := new.duties.get(name, one))
+        name: replace(
+            one,
+            every_ms=told.every_ms,
+            deadline_ms=told.deadline_ms,
+            back_off_ms=told.back_off_ms,
+            share=told.share,
+        )
+        for name, one in old.duties.items()
+        if (told := new.duties.get(name, one))
     }
     return replace(old, duties=duties, together=new.together, even_ms=new.even_ms)
 
--- a/myrtlecrank/fleet/command.py
+++ b/myrtlecrank/fleet/command.py
@@ -30,8 +30,10 @@
     names = list(rows[0])
     cells = [names, *([_cell(row.get(name)) for name in names] for row in rows)]
     widths = [max(len(line[i]) for line in cells) for i in range(len(names))]
-    return "\n".join("  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
-                     for line in cells)
+    return "\n".join(
+        "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
+        for line in cells
+    )
 
 
 def _cell(value: object) -> str:
@@ -83,8 +85,16 @@
     """A line a record: what this voter holds of it."""
     told: Row = {"voter": memory.voter, "boot": memory.boot, "roster": memory.roster.number}
     for key, slot in sorted(memory.slots.items()):
-        row: Row = {**told, "key": key, "version": slot.record.version, "ballot": slot.accepted.number,
-                    "promised": slot.promised.number, "owner": None, "epoch": None, "step": None}
+        row: Row = {
+            **told,
+            "key": key,
+            "version": slot.record.version,
+            "ballot": slot.accepted.number,
+            "promised": slot.promised.number,
+            "owner": None,
+            "epoch": None,
+            "step": None,
+        }
         try:
             lease = opened(slot.record)
             row |= {"owner": lease.owner or None, "epoch": lease.epoch, "step": lease.progress}
--- a/myrtlecrank/fleet/decide.py
+++ b/myrtlecrank/fleet/decide.py
@@ -48,8 +48,15 @@
     """`start` names this start of the process and no other one, ever: a ballot or a lease of an earlier start
     must not look like ours. `chance` gives 0 to 1."""
 
-    def __init__(self, me: Rumour, start: str, seeds: dict[str, tuple[str, int]], plan: Plan,
-                 chance: Callable[[], float], now: float) -> None:
+    def __init__(
+        self,
+        me: Rumour,
+        start: str,
+        seeds: dict[str, tuple[str, int]],
+        plan: Plan,
+        chance: Callable[[], float],
+        now: float,
+    ) -> None:
         self.name, self.plan = me.name, plan
         self.ident = f"{me.name}/{start}"
         self.out: list[tuple[str, Message]] = []
@@ -190,8 +197,10 @@
         if self.proposer.unlike is not None and not self.unlike:
             self.unlike = True
             others = ", ".join(self.proposer.unlike.names)
-            self.changed.append(f"some voters were founded as {others}, others as {', '.join(roster.names)}: "
-                                "they never vote together; begin the fleet anew from one file")
+            self.changed.append(
+                f"some voters were founded as {others}, others as {', '.join(roster.names)}: "
+                "they never vote together; begin the fleet anew from one file"
+            )
         if now >= self.settle_due:
             self.settle_due = self._settle_at(now)
             self.reseat((), (), lambda _: None, now)
@@ -218,9 +227,16 @@
     def rows_of_voters(self) -> Iterator[Row]:
         roster = self.proposer.roster
         for name in roster.names:
-            yield {"voter": name, "roster": roster.number, "seat": roster.seat(name) or "founder",
-                   "state": "votes" if all(name in one for one in roster.sets)
-                   else "comes" if name in roster.sets[-1] else "goes"}
+            yield {
+                "voter": name,
+                "roster": roster.number,
+                "seat": roster.seat(name) or "founder",
+                "state": "votes"
+                if all(name in one for one in roster.sets)
+                else "comes"
+                if name in roster.sets[-1]
+                else "goes",
+            }
 
     # -- what operators see
 
@@ -229,22 +245,40 @@
         for name in sorted([self.name, *members.members]):
             told = members.me if name == self.name else members.members[name].told
             since = 0.0 if name == self.name else (now - members.members[name].since) / 1000.0
-            yield {"member": name, "state": told.state.name.lower(), "fit": told.fit, "zone": told.zone,
-                   "incarnation": told.incarnation, "for_s": round(since, 1)}
+            yield {
+                "member": name,
+                "state": told.state.name.lower(),
+                "fit": told.fit,
+                "zone": told.zone,
+                "incarnation": told.incarnation,
+                "for_s": round(since, 1),
+            }
 
     def rows_of_view(self, now: float) -> Iterator[Row]:
         for known in self.watch.now_known(now) or []:
             gauges = known.gauges
-            yield {"member": known.member, "age_ms": round(known.age), "well": gauges.well,
-                   "warmth": round(gauges.warmth, 2), "late_ms": round(gauges.late, 1), "value": gauges.value,
-                   "storm": gauges.storm}
+            yield {
+                "member": known.member,
+                "age_ms": round(known.age),
+                "well": gauges.well,
+                "warmth": round(gauges.warmth, 2),
+                "late_ms": round(gauges.late, 1),
+                "value": gauges.value,
+                "storm": gauges.storm,
+            }
 
     def rows_of_owners(self, now: float) -> Iterator[Row]:
         for name, duty in self.duties.items():
             lease = duty.lease
-            yield {"duty": name, "owner": member_of(lease.owner) or None, "epoch": lease.epoch,
-                   "step": lease.progress, "seen_ms_ago": round(now - duty.since),
-                   "here": duty.owns(now) is not None, "heir": lease.heir or None}
+            yield {
+                "duty": name,
+                "owner": member_of(lease.owner) or None,
+                "epoch": lease.epoch,
+                "step": lease.progress,
+                "seen_ms_ago": round(now - duty.since),
+                "here": duty.owns(now) is not None,
+                "heir": lease.heir or None,
+            }
 
     # -- the steps of a duty
 
--- a/myrtlecrank/fleet/effects.py
+++ b/myrtlecrank/fleet/effects.py
@@ -27,8 +27,12 @@
                 if self.sock is None:
                     self.sock = socket.create_connection(self.address)
                     self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                line = orjson.dumps({"duty": effect.duty, "epoch": effect.epoch, "step": effect.step,
-                                     "owner": self.owner}) + b"\n"
+                line = (
+                    orjson.dumps(
+                        {"duty": effect.duty, "epoch": effect.epoch, "step": effect.step, "owner": self.owner}
+                    )
+                    + b"\n"
+                )
                 if not still():
                     return False
                 self.sock.sendall(line)
--- a/myrtlecrank/fleet/links.py
+++ b/myrtlecrank/fleet/links.py
@@ -55,7 +55,7 @@
                     raise RefusedError(f"announced a message of {length} bytes; at most {LONGEST} are taken")
                 end = LENGTH.size + length
                 if len(self.buffer) >= end:
-                    raw = bytes(self.buffer[LENGTH.size:end])
+                    raw = bytes(self.buffer[LENGTH.size : end])
                     del self.buffer[:end]
                     try:
                         return UNPACK.decode(raw)
@@ -97,8 +97,15 @@
     """All links of one member. `heard` gets each message with its sender and may wait, which then holds that
     one link only; `asked` answers an operator."""
 
-    def __init__(self, fleet: str, name: str, addresses: dict[str, tuple[str, int]], most: int,
-                 heard: Callable[[str, Message], None], asked: Callable[[Message], Message | None]) -> None:
+    def __init__(
+        self,
+        fleet: str,
+        name: str,
+        addresses: dict[str, tuple[str, int]],
+        most: int,
+        heard: Callable[[str, Message], None],
+        asked: Callable[[Message], Message | None],
+    ) -> None:
         self.fleet, self.name, self.heard, self.asked = fleet, name, heard, asked
         self.hello = packed(Hello(VERSION, fleet, name))
         self.peers = {one: Peer(one, address, most) for one, address in addresses.items() if one != name}
--- a/myrtlecrank/fleet/members/decide.py
+++ b/myrtlecrank/fleet/members/decide.py
@@ -55,8 +55,15 @@
 class Members:
     """The view of one process. `chance` gives 0 to 1."""
 
-    def __init__(self, me: Rumour, seeds: dict[str, tuple[str, int]], pace: Pace, chance: Callable[[], float],
-                 now: float, most: int = 1000) -> None:
+    def __init__(
+        self,
+        me: Rumour,
+        seeds: dict[str, tuple[str, int]],
+        pace: Pace,
+        chance: Callable[[], float],
+        now: float,
+        most: int = 1000,
+    ) -> None:
         self.me, self.pace, self.chance, self.most = me, pace, chance, most
         self.seeds = {name: address for name, address in seeds.items() if name != me.name}
         self.members: dict[str, Member] = {}
@@ -193,7 +200,7 @@
     # -- what comes in
 
     def heard(self, sender: str, word: Word, now: float) -> list[Send]:
-        for rumour in word.rumours[:self.most]:
+        for rumour in word.rumours[: self.most]:
             self._take(rumour, now)
         if isinstance(word, Swap):
             return [(sender, self._swap(False))] if word.back else []
--- a/myrtlecrank/fleet/register/calls.py
+++ b/myrtlecrank/fleet/register/calls.py
@@ -41,8 +41,11 @@
 
 def _votes(voter: Voter, questions: list[tuple[str, Asked]]) -> list[tuple[str, Message]]:
     votes = voter.answers((asked.mark, asked.ask) for _, asked in questions)
-    return [(sender, Voted(asked.call, asked.round, vote))
-            for (sender, asked), vote in zip(questions, votes, strict=True) if vote is not None]
+    return [
+        (sender, Voted(asked.call, asked.round, vote))
+        for (sender, asked), vote in zip(questions, votes, strict=True)
+        if vote is not None
+    ]
 
 
 @dataclass(slots=True)
--- a/myrtlecrank/fleet/register/decide.py
+++ b/myrtlecrank/fleet/register/decide.py
@@ -53,8 +53,14 @@
     `keep` writes the memory and returns when it is durable; where it fails, the voter says nothing."""
 
     def __init__(
-        self, name: str, guess: Iterable[str], memory: Memory | None, keep: Callable[[Memory], bool],
-        fleet: str = "", whole: bool = True, ident: str = "",
+        self,
+        name: str,
+        guess: Iterable[str],
+        memory: Memory | None,
+        keep: Callable[[Memory], bool],
+        fleet: str = "",
+        whole: bool = True,
+        ident: str = "",
     ) -> None:
         self.name, self.keep, self.ident = name, keep, ident
         self.memory = memory or Memory(fleet, name, 0, {}, {}, guessed(guess))
@@ -82,8 +88,10 @@
         flush, once they are durable; None for each while the voter abstains or its disk fails."""
         asked = list(asked)
         votes = [self._answer(mark, one) for mark, one in asked]
-        changed = any(vote is not None and vote.granted and not isinstance(one, Glance | Keys)
-                      for (_, one), vote in zip(asked, votes, strict=True))
+        changed = any(
+            vote is not None and vote.granted and not isinstance(one, Glance | Keys)
+            for (_, one), vote in zip(asked, votes, strict=True)
+        )
         if not changed or self._kept():
             return votes
         # Nothing is told. What is on the disk may be either, and a later vote starts from the higher.
@@ -198,11 +206,27 @@
         self.failed = not self.keep(self.memory)
         return not self.failed
 
-    def _vote(self, granted: bool, ballot: Ballot, slot: Slot, roster: Roster | None = None,
-              keys: Iterable[str] = ()) -> Vote:
+    def _vote(
+        self,
+        granted: bool,
+        ballot: Ballot,
+        slot: Slot,
+        roster: Roster | None = None,
+        keys: Iterable[str] = (),
+    ) -> Vote:
         memory = self.memory
-        return Vote(self.name, memory.boot, granted, ballot, slot.accepted, slot.record, dict(memory.boots),
-                    memory.seat, roster, list(keys))
+        return Vote(
+            self.name,
+            memory.boot,
+            granted,
+            ballot,
+            slot.accepted,
+            slot.record,
+            dict(memory.boots),
+            memory.seat,
+            roster,
+            list(keys),
+        )
 
 
 def counted(votes: Iterable[Vote]) -> list[Vote]:
--- a/myrtlecrank/fleet/register/disk.py
+++ b/myrtlecrank/fleet/register/disk.py
@@ -50,7 +50,7 @@
     if len(raw) < HEADER.size:
         raise TornError(f"is {len(raw)} bytes long, shorter than its header")
     magic, version, length, digest = HEADER.unpack_from(raw)
-    body = raw[HEADER.size:]
+    body = raw[HEADER.size :]
     if magic != MAGIC:
         raise TornError("is no voter's memory")
     if version not in (VERSION, BEFORE):
--- a/myrtlecrank/fleet/register/reseat.py
+++ b/myrtlecrank/fleet/register/reseat.py
@@ -62,8 +62,11 @@
             continue
         (now,) = roster.sets
         ours = bool(seats) or not add
-        if ours and all(now.get(name) == seat for name, seat in seats.items()) and not (
-                now.keys() & set(drop) - seats.keys()):
+        if (
+            ours
+            and all(now.get(name) == seat for name, seat in seats.items())
+            and not (now.keys() & set(drop) - seats.keys())
+        ):
             # Adopted by a majority before it is called done: whoever asks them next goes by it.
             yield from proposer.read(VOTERS)
             return Reseated(roster)
@@ -95,8 +98,10 @@
             if asked.stands(votes):
                 break
         else:
-            return (f"{name!r} takes no seat: it is away, has no folder that it can write, or votes with a "
-                    "whole memory")
+            return (
+                f"{name!r} takes no seat: it is away, has no folder that it can write, or votes with a "
+                "whole memory"
+            )
         seats[name] = votes[0].seat
     return ""
 
--- a/myrtlecrank/fleet/register/roster.py
+++ b/myrtlecrank/fleet/register/roster.py
@@ -44,8 +44,11 @@
     def stands(self, granted: Iterable[tuple[str, str]]) -> bool:
         """Whether these voters, by name and seat, are a majority of each set."""
         votes = list(granted)
-        return bool(self.sets) and self.number >= 0 and all(
-            sum(one.get(name) == seat for name, seat in votes) > len(one) // 2 for one in self.sets)
+        return (
+            bool(self.sets)
+            and self.number >= 0
+            and all(sum(one.get(name) == seat for name, seat in votes) > len(one) // 2 for one in self.sets)
+        )
 
     def changed(self, drop: Iterable[str], add: dict[str, str]) -> Roster:
         """The joint roster by which voters go and come; `add` has the seat of each that comes. Raises
--- a/myrtlecrank/fleet/register/sqlite.py
+++ b/myrtlecrank/fleet/register/sqlite.py
@@ -8,10 +8,14 @@
 
 from myrtlecrank.fleet.register.words import NOTHING, Outcome, Record, Result, sized
 
-TABLE = ("CREATE TABLE IF NOT EXISTS records (key TEXT PRIMARY KEY, version INTEGER NOT NULL,"
-         " value BLOB NOT NULL, writer TEXT NOT NULL) WITHOUT ROWID")
-PUT = ("INSERT INTO records VALUES (?, ?, ?, ?) ON CONFLICT (key) DO UPDATE SET version = excluded.version,"
-       " value = excluded.value, writer = excluded.writer")
+TABLE = (
+    "CREATE TABLE IF NOT EXISTS records (key TEXT PRIMARY KEY, version INTEGER NOT NULL,"
+    " value BLOB NOT NULL, writer TEXT NOT NULL) WITHOUT ROWID"
+)
+PUT = (
+    "INSERT INTO records VALUES (?, ?, ?, ?) ON CONFLICT (key) DO UPDATE SET version = excluded.version,"
+    " value = excluded.value, writer = excluded.writer"
+)
 
 
 class SqliteRegister:
--- a/myrtlecrank/fleet/steps.py
+++ b/myrtlecrank/fleet/steps.py
@@ -126,5 +126,6 @@
         return (now - doing.begun) * (1.0 / work.share - 1.0)
 
     def _under_way(self) -> int:
-        return sum(one.until is not None and self.duties[name].epoch is not None
-                   for name, one in self.doing.items())
+        return sum(
+            one.until is not None and self.duties[name].epoch is not None for name, one in self.doing.items()
+        )
--- a/myrtlecrank/fleet/watch/decide.py
+++ b/myrtlecrank/fleet/watch/decide.py
@@ -69,8 +69,11 @@
         members = sorted(there)[:MOST]
         for gone in set(self.gathered) - set(members) - {me}:
             del self.gathered[gone]
-        seen = [Seen(name, got.gauges, now - got.since) for name, got in sorted(self.gathered.items())
-                if now - got.since < self.old]
+        seen = [
+            Seen(name, got.gauges, now - got.since)
+            for name, got in sorted(self.gathered.items())
+            if now - got.since < self.old
+        ]
         message = Watched(epoch, self.number, seen)
         self.hear(message, mine, now)
         return [(name, message) for name in members if name != me]
@@ -90,8 +93,11 @@
         if not self.fence.admits(DUTY, watched.epoch) or (watched.epoch, watched.view) <= self.last:
             return None
         self.last, self.heard_at = (watched.epoch, watched.view), now
-        self.view = {one.member: _Got(one.gauges, now - max(0.0, one.age)) for one in watched.seen[:MOST]
-                     if not math.isnan(one.age)}
+        self.view = {
+            one.member: _Got(one.gauges, now - max(0.0, one.age))
+            for one in watched.seen[:MOST]
+            if not math.isnan(one.age)
+        }
         return Told(watched.epoch, watched.view, mine)
 
     def now_known(self, now: float) -> list[Known] | None:
@@ -99,5 +105,8 @@
         what is not."""
         if self.heard_at is None or now - self.heard_at >= self.old:
             return None
-        return [Known(name, got.gauges, now - got.since) for name, got in sorted(self.view.items())
-                if now - got.since < self.old]
+        return [
+            Known(name, got.gauges, now - got.since)
+            for name, got in sorted(self.view.items())
+            if now - got.since < self.old
+        ]
--- a/myrtlecrank/fleet/words.py
+++ b/myrtlecrank/fleet/words.py
@@ -70,5 +70,22 @@
     wrong: str = ""
 
 
-Message = (Watched | Told | Hello | Asked | Voted | Rejoin | Known | Seated | Offered | Ping | PingFor
-           | Ack | Swap | Tell | StepDown | Reseat | Report)
+Message = (
+    Watched
+    | Told
+    | Hello
+    | Asked
+    | Voted
+    | Rejoin
+    | Known
+    | Seated
+    | Offered
+    | Ping
+    | PingFor
+    | Ack
+    | Swap
+    | Tell
+    | StepDown
+    | Reseat
+    | Report
+)
--- a/myrtlecrank/log.py
+++ b/myrtlecrank/log.py
@@ -33,5 +33,11 @@
 
 def to_stderr() -> None:
     logger.remove()
-    logger.add(sys.stderr, format="{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}", level="INFO",
-               filter=Sparing(), backtrace=False, diagnose=False)
+    logger.add(
+        sys.stderr,
+        format="{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}",
+        level="INFO",
+        filter=Sparing(),
+        backtrace=False,
+        diagnose=False,
+    )
--- a/myrtlecrank/logic.py
+++ b/myrtlecrank/logic.py
@@ -74,7 +74,6 @@
         self.hint, self.hint_spread, self.hint_tells, self.log_usual = 0.0, 1.0, 0.5, 0.0
         self.credit = 0.0  # turns carried over
 
-
     def weigh_hint(self, hint: float) -> float:
         """Expected work over the usual. Guards against rough hints: the largest are mostly overstated."""
         if hint <= 0 or self.hint == 0.0:
--- a/myrtlecrank/operators/sections.py
+++ b/myrtlecrank/operators/sections.py
@@ -63,8 +63,11 @@
     if one.type == "str":
         return isinstance(value, str) and one.metadata["least"] <= len(value) <= LONGEST_TEXT
     if one.type in TEXTS:
-        return isinstance(value, list) and len(value) <= MOST_ENTRIES and all(
-            isinstance(text, str) and 0 < len(text) <= LONGEST_TEXT for text in value)
+        return (
+            isinstance(value, list)
+            and len(value) <= MOST_ENTRIES
+            and all(isinstance(text, str) and 0 < len(text) <= LONGEST_TEXT for text in value)
+        )
     if "kind" in one.metadata:
         return isinstance(value, Mapping) and len(value) <= MOST_ENTRIES
     if isinstance(value, bool) or not isinstance(value, int if one.type == "int" else int | float):
@@ -87,8 +90,10 @@
         elif not _fits(one, value):
             wrong.append(f"[{name}] {key}: is {value!r:.60}; allowed: {_allowed(one)}")
         elif "kind" in one.metadata:
-            inner = {each: read(one.metadata["kind"], f"{name}.{key}.{each}", told, wrong)
-                     for each, told in value.items()}
+            inner = {
+                each: read(one.metadata["kind"], f"{name}.{key}.{each}", told, wrong)
+                for each, told in value.items()
+            }
             taken[key] = {each: section for each, section in inner.items() if section is not None}
         else:
             turned = {"float": float, TEXTS[1]: tuple}.get(str(one.type))
@@ -98,5 +103,7 @@
 
 def explain(kind: type[Any]) -> list[tuple[str, Any, str, str]]:
     """Of each figure: name, default, what is allowed, what it means."""
-    return [(one.name, None if "kind" in one.metadata else one.default, _allowed(one), one.metadata["what"])
-            for one in fields(kind)]
+    return [
+        (one.name, None if "kind" in one.metadata else one.default, _allowed(one), one.metadata["what"])
+        for one in fields(kind)
+    ]
--- a/myrtlecrank/port.py
+++ b/myrtlecrank/port.py
@@ -225,7 +225,19 @@
 
 
 Operation = (
-    Start | Halt | Deny | Fail | Call | Skip | Retain | Erase | Join
-    | Health | Publish | IdleLimit | Alarm | Log
+    Start
+    | Halt
+    | Deny
+    | Fail
+    | Call
+    | Skip
+    | Retain
+    | Erase
+    | Join
+    | Health
+    | Publish
+    | IdleLimit
+    | Alarm
+    | Log
 )
 Do = Callable[[Operation], None]
--- a/myrtlecrank/serve.py
+++ b/myrtlecrank/serve.py
@@ -42,11 +42,21 @@
     link: Link
     roll = Roll(orders.members, orders.name)
     core: Core
-    below = None if orders.records is None else BelowLink(
-        orders.records, lambda e: core.mailbox.post(e), 0.5 * min(g.slo for g in orders.facts.groups)
+    below = (
+        None
+        if orders.records is None
+        else BelowLink(
+            orders.records, lambda e: core.mailbox.post(e), 0.5 * min(g.slo for g in orders.facts.groups)
+        )
+    )
+    core = Core(
+        orders.facts,
+        orders.stop_ms,
+        lambda c: link.mailbox.post(c),
+        roll.tell,
+        repeats=operators.repeats,
+        below=None if below is None else below.mailbox.post,
     )
-    core = Core(orders.facts, orders.stop_ms, lambda c: link.mailbox.post(c), roll.tell,
-                repeats=operators.repeats, below=None if below is None else below.mailbox.post)
     link = Link(orders.agent, orders.gauges, core.mailbox.post)
     over, code = Flag(), [0]
 
@@ -138,7 +148,8 @@
     if fleet is not None:
         member = fleet
         core.on_beat.append(
-            lambda _: member.feel(core.board, core.repeats is not None and core.repeats.storm))
+            lambda _: member.feel(core.board, core.repeats is not None and core.repeats.storm)
+        )
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, leave)
     gevent.signal_handler(signal.SIGHUP, reload)
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -75,8 +75,16 @@
 @changed
 @OUT
 def play_(
-    name: str, seed: int, off: str | None, real: bool, virtual: bool, bug: str | None, reseats: bool,
-    quick: bool, out: Path | None, **changes: Any
+    name: str,
+    seed: int,
+    off: str | None,
+    real: bool,
+    virtual: bool,
+    bug: str | None,
+    reseats: bool,
+    quick: bool,
+    out: Path | None,
+    **changes: Any,
 ) -> None:
     """Plays one experiment once. The last line on standard output is a JSON object."""
     if name in FLEET:
@@ -107,21 +115,31 @@
         sys.exit(2)
     try:
         if virtual:
-            scene = owners.Scene(length=30_000.0 if quick else 60_000.0, fence=bug != "fence",
-                                 reseats=reseats)
+            scene = owners.Scene(
+                length=30_000.0 if quick else 60_000.0, fence=bug != "fence", reseats=reseats
+            )
             one = owners.play(seed, scene, BUGS.get(bug or ""))
         else:
             from rig.sockets.owners import play as play_real
 
-            one = play_real(seed, seconds=25.0 if quick else 60.0, fence=bug != "fence",
-                            wall_leases=bug == "wall-time", keep=None if out is None else out / "logs")
+            one = play_real(
+                seed,
+                seconds=25.0 if quick else 60.0,
+                fence=bug != "fence",
+                wall_leases=bug == "wall-time",
+                keep=None if out is None else out / "logs",
+            )
     except (OSError, gevent.Timeout) as error:
         click.echo(f"could not run: {error}", err=True)
         sys.exit(2)
     rules = {key: int(one.figures.get(key, 0) > most) for key, most in owners.AIMS.items()}
     line: dict[str, Any] = {
-        "experiment": name, "seed": seed, "where": "virtual clock" if virtual else "real processes",
-        "figures": one.figures, "rules": rules, "incomplete": None,
+        "experiment": name,
+        "seed": seed,
+        "where": "virtual clock" if virtual else "real processes",
+        "figures": one.figures,
+        "rules": rules,
+        "incomplete": None,
     }
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
--- a/rig/several/bugs.py
+++ b/rig/several/bugs.py
@@ -88,8 +88,7 @@
         def make(start: Any, member: Member = member) -> Any:
             def started(trusted: bool = False) -> None:
                 if member.disk.image is None:
-                    member.disk.image = encode(
-                        Memory("", member.name, 0, {}, {}, founding(play.plan.voters)))
+                    member.disk.image = encode(Memory("", member.name, 0, {}, {}, founding(play.plan.voters)))
                 start(trusted=True)
 
             return started
--- a/rig/several/chart.py
+++ b/rig/several/chart.py
@@ -25,8 +25,9 @@
         begin, last, owner = taken[0][0], taken[0][0], taken[0][1]
         for at, who in [*taken[1:], (float("inf"), "")]:
             if who != owner or at - last > GAP_S:
-                axes.broken_barh([(begin, max(0.05, last - begin))], (row - 0.35, 0.7),
-                                 color=colour[owner.split("/")[0]])
+                axes.broken_barh(
+                    [(begin, max(0.05, last - begin))], (row - 0.35, 0.7), color=colour[owner.split("/")[0]]
+                )
                 begin, owner = at, who
             last = at
     for at, kind, whom, _ in played.script:
--- a/rig/several/history.py
+++ b/rig/several/history.py
@@ -34,8 +34,13 @@
     def start(self, trusted: bool) -> None:
         self.host.up, self.host.life = True, self.host.life + 1
         self.voter = VoterHost(
-            self.host, self.play.founders, self.disk, trusted,
-            lambda to, message: self.play.send(self.name, to, message), self.play.flush_ms)
+            self.host,
+            self.play.founders,
+            self.disk,
+            trusted,
+            lambda to, message: self.play.send(self.name, to, message),
+            self.play.flush_ms,
+        )
 
     def die(self) -> None:
         self.host.up, self.host.life = False, self.host.life + 1
@@ -50,8 +55,9 @@
     """What one caller asks of the register and how it ended, as the checker wants it: reads, and changes over
     what it last saw."""
 
-    def __init__(self, proposer: Proposer, history: list[Op], chance: Callable[[], float],
-                 last: Record = NOTHING) -> None:
+    def __init__(
+        self, proposer: Proposer, history: list[Op], chance: Callable[[], float], last: Record = NOTHING
+    ) -> None:
         self.proposer, self.history, self.chance, self.last = proposer, history, chance, last
 
     def next(self, now: float) -> tuple[Call, Op]:
@@ -165,8 +171,14 @@
 class Register:
     """`trusted`: a voter that comes up with a whole memory votes at once; then no older disks are played."""
 
-    def __init__(self, seed: int, trusted: bool = False, plant: Callable[[Client], None] | None = None,
-                 forget: bool = False, change: bool = False) -> None:
+    def __init__(
+        self,
+        seed: int,
+        trusted: bool = False,
+        plant: Callable[[Client], None] | None = None,
+        forget: bool = False,
+        change: bool = False,
+    ) -> None:
         self.change, self.reseated = change, 0
         self.world, self.trusted, self.plant, self.forget = World(seed), trusted, plant, forget
         self.world.jitter, self.world.lose = 8.0, 0.05
@@ -218,8 +230,9 @@
                     world.cut(*link, world.now + ms)
                 else:
                     world.slow[link] = (world.now + ms, 60.0)
-        elif node.host.up and all(one.host.up and one.voter is not None and one.voter.voter.voting
-                                  for one in self.voters()):
+        elif node.host.up and all(
+            one.host.up and one.voter is not None and one.voter.voter.voting for one in self.voters()
+        ):
             # One memory lost at a time: what two have lost together nobody can know.
             node.die()
             if kind == "lost" or (kind == "old" and not node.disk.copies):
@@ -249,12 +262,16 @@
         self.world.run(4000.0)
         ok = judged(self.history)
         known = sum(op.end != float("inf") for op in self.history)
-        return Judged(0, ok, len(self.history), known, self.history, self.reseated,
-                      self.roster().number)
+        return Judged(0, ok, len(self.history), known, self.history, self.reseated, self.roster().number)
 
 
-def play(seed: int, trusted: bool = False, plant: Callable[[Client], None] | None = None,
-         forget: bool = False, change: bool = False) -> Judged:
+def play(
+    seed: int,
+    trusted: bool = False,
+    plant: Callable[[Client], None] | None = None,
+    forget: bool = False,
+    change: bool = False,
+) -> Judged:
     """`change`: voters are replaced meanwhile."""
     one = Register(seed, trusted, plant, forget, change).run()
     one.seed = seed
@@ -269,4 +286,3 @@
 def ballot_again(client: Client) -> None:
     """Planted: two starts of one process are one to the voters."""
     client.proposer.ident = client.name
-
--- a/rig/several/member.py
+++ b/rig/several/member.py
@@ -49,8 +49,15 @@
     """The voter of one member: questions that wait while a flush is under way go together under the next
     one."""
 
-    def __init__(self, host: Host, guess: Sequence[str], disk: Disk, trusted: bool,
-                 send: Callable[[str, Message], None], flush_ms: float) -> None:
+    def __init__(
+        self,
+        host: Host,
+        guess: Sequence[str],
+        disk: Disk,
+        trusted: bool,
+        send: Callable[[str, Message], None],
+        flush_ms: float,
+    ) -> None:
         self.host, self.disk, self.send, self.flush_ms = host, disk, send, flush_ms
         memory = decode(disk.image) if disk.image is not None else None
         ident = f"{host.name}/{host.life}"
@@ -103,8 +110,17 @@
 class Member:
     """`carry_out` gets the effects, with the true time at which the process let go of them."""
 
-    def __init__(self, world: World, name: str, zone: str, plan: Plan, names: list[str], drift: float,
-                 carry_out: Callable[[Member, Effect], None], flush_ms: float = 2.0) -> None:
+    def __init__(
+        self,
+        world: World,
+        name: str,
+        zone: str,
+        plan: Plan,
+        names: list[str],
+        drift: float,
+        carry_out: Callable[[Member, Effect], None],
+        flush_ms: float = 2.0,
+    ) -> None:
         self.world, self.name, self.zone, self.plan, self.names = world, name, zone, plan, names
         self.host = Host(world, name, drift)
         self.disk = Disk()
--- a/rig/several/owners.py
+++ b/rig/several/owners.py
@@ -48,8 +48,24 @@
     first_break: str = ""
 
 
-FAULTS = ("kill", "kill", "stop", "stop", "cut", "cut-in", "cut-out", "half", "slow", "disk-full",
-          "lost-disk", "old-disk", "leave", "all-voters", "flap", "clock")
+FAULTS = (
+    "kill",
+    "kill",
+    "stop",
+    "stop",
+    "cut",
+    "cut-in",
+    "cut-out",
+    "half",
+    "slow",
+    "disk-full",
+    "lost-disk",
+    "old-disk",
+    "leave",
+    "all-voters",
+    "flap",
+    "clock",
+)
 AIMS = {"acting_at_once": 1, "owners_at_once": 1, "late_effects_taken": 0, "steps_lost": 0, "steps_twice": 0}
 
 
@@ -138,9 +154,14 @@
             return a is b or not (cut or (until > now and more > 100.0))
 
         reached = [
-            (v.name, v.voter.voter.memory.seat) for v in self.members
-            if v.voter is not None and self._runs(v) and v.voter.voter.voting and v.disk.full_until <= now
-            and through(one, v) and through(v, one)
+            (v.name, v.voter.voter.memory.seat)
+            for v in self.members
+            if v.voter is not None
+            and self._runs(v)
+            and v.voter.voter.voting
+            and v.disk.full_until <= now
+            and through(one, v)
+            and through(v, one)
         ]
         return self._runs(one) and self.roster().stands(reached)
 
@@ -286,7 +307,8 @@
             "stuck": sum(scene.length - at > 3000.0 for at in last.values()),
             "faults": len(self.script),
             "messages_a_member_a_second": round(
-                self.world.messages / len(self.members) / scene.length * 1000.0, 1),
+                self.world.messages / len(self.members) / scene.length * 1000.0, 1
+            ),
         }
         trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.taken]
         wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures[key] > most]
--- a/rig/several/shuffle.py
+++ b/rig/several/shuffle.py
@@ -88,7 +88,8 @@
         self.history: list[Op] = []
         self.bag: list[Sent] = []
         self.images: dict[str, bytes] = {
-            name: encode(Memory("", name, 0, {}, {}, founding(FOUNDERS))) for name in FOUNDERS}
+            name: encode(Memory("", name, 0, {}, {}, founding(FOUNDERS))) for name in FOUNDERS
+        }
         self.voters: dict[str, Voter] = {}
         for name in ALL:
             self.start(name)
@@ -210,8 +211,7 @@
     """The new voters stand alone before they hold what was chosen."""
 
     def settled(proposer: Proposer, record: Record, joint: Roster) -> Any:
-        changed: Outcome = yield from proposer.change(
-            VOTERS, record, msgspec.msgpack.encode(joint.settled()))
+        changed: Outcome = yield from proposer.change(VOTERS, record, msgspec.msgpack.encode(joint.settled()))
         return changed.result is Result.DONE and proposer.seated(joint.settled())
 
     return _put(reseating, "settle", settled)
@@ -233,4 +233,7 @@
 
 
 BUGS: dict[str, Callable[[], Undo]] = {
-    "no-joint": no_joint, "no-rewrite": no_rewrite, "any-roster": any_roster}
+    "no-joint": no_joint,
+    "no-rewrite": no_rewrite,
+    "any-roster": any_roster,
+}
--- a/rig/several/walk.py
+++ b/rig/several/walk.py
@@ -93,8 +93,10 @@
         if key not in self.seen:
             self.states += 1
         self.seen[key] = left
-        results = tuple(outcome.result if outcome else None
-                        for outcome in (self.asks(i, s.resumed)[1] for i, s in enumerate(sides)))
+        results = tuple(
+            outcome.result if outcome else None
+            for outcome in (self.asks(i, s.resumed)[1] for i, s in enumerate(sides))
+        )
         self.ends.add(results)
         if results == (Result.DONE, Result.DONE):
             self.wrong.append((slots, sides))
@@ -106,7 +108,7 @@
             for i, name in side.sent:
                 place = NAMES.index(name)
                 vote, slot = self._take(slots[place], name, asked[i])
-                after = (*slots[:place], slot, *slots[place + 1:])
+                after = (*slots[:place], slot, *slots[place + 1 :])
                 rest = Side(side.resumed, side.votes, tuple(one for one in side.sent if one != (i, name)))
                 self._go(after, sides, number, rest, left)  # the vote is lost, or too late
                 if outcome is None and i == len(asked) - 1:
@@ -123,7 +125,7 @@
         return self._began(number, Side((*side.resumed, votes), (), side.sent), before)
 
     def _go(self, slots: Slots, sides: tuple[Side, ...], number: int, side: Side, left: int) -> None:
-        self._from(slots, (*sides[:number], side, *sides[number + 1:]), left - 1)
+        self._from(slots, (*sides[:number], side, *sides[number + 1 :]), left - 1)
 
     def _take(self, slot: Slot | None, name: str, ask: Prepare | Accept) -> tuple[Vote, Slot | None]:
         memory = Memory("", name, 0, {} if slot is None else {"k": slot}, {}, ROSTER)
--- a/rig/several/walk_owner.py
+++ b/rig/several/walk_owner.py
@@ -48,8 +48,20 @@
         def ago(at: float) -> float:
             return max(-20.0, min(20.0, at - self.now))
 
-        return (duty.record, duty.known, ago(duty.since), duty.epoch, ago(duty.until), duty.attempts,
-                duty.sent[0], ago(duty.sent[1]), duty.asked, ago(duty.due), duty.heir, duty.done)
+        return (
+            duty.record,
+            duty.known,
+            ago(duty.since),
+            duty.epoch,
+            ago(duty.until),
+            duty.attempts,
+            duty.sent[0],
+            ago(duty.sent[1]),
+            duty.asked,
+            ago(duty.due),
+            duty.heir,
+            duty.done,
+        )
 
 
 class Walk:
@@ -89,8 +101,11 @@
         if self.wrong or self.seen.get(key, -1) >= left:
             return
         self.seen[key] = left
-        owners = [(duty.me, epoch) for duty in map(copied, state.duties)
-                  if (epoch := duty.owns(float(state.now))) is not None]
+        owners = [
+            (duty.me, epoch)
+            for duty in map(copied, state.duties)
+            if (epoch := duty.owns(float(state.now))) is not None
+        ]
         self.taken_by.update(name for name, _ in owners)
         self.handed_on += any(epoch > 1 for _, epoch in owners)
         if len(owners) > 1:
@@ -130,7 +145,7 @@
 
     @staticmethod
     def _with(state: State, i: int, duty: Duty, calls: tuple[Sent, ...]) -> State:
-        return replace(state, duties=(*state.duties[:i], duty, *state.duties[i + 1:]), calls=calls)
+        return replace(state, duties=(*state.duties[:i], duty, *state.duties[i + 1 :]), calls=calls)
 
     @staticmethod
     def _taken(state: State, sent: Sent) -> Iterator[tuple[Outcome, Record]]:
--- a/rig/sockets/owners.py
+++ b/rig/sockets/owners.py
@@ -28,8 +28,24 @@
 
 LEASE_MS = 1000.0
 STEP_MS = 100.0
-FAULTS = ("kill", "kill", "stop", "stop", "cut", "freeze", "freeze-in", "freeze-out", "half", "slow", "flap",
-          "term", "lost-disk", "clock", "replace", "replace")
+FAULTS = (
+    "kill",
+    "kill",
+    "stop",
+    "stop",
+    "cut",
+    "freeze",
+    "freeze-in",
+    "freeze-out",
+    "half",
+    "slow",
+    "flap",
+    "term",
+    "lost-disk",
+    "clock",
+    "replace",
+    "replace",
+)
 SETTINGS: dict[str, Any] = {
     "categories": [{"name": "group", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000}],
     "domain": {"cores": 2, "memoryKb": 1000.0, "signal": "tokens", "gauges": list(GAUGES)},
@@ -114,9 +130,14 @@
         self.process: subprocess.Popen[bytes] | None = None
         listen = free_address(seed + int(name[1:]))
         conf = {
-            "name": name, "listen": f"{listen[0]}:{listen[1]}", "agent": ":".join(map(str, stands.agent)),
-            "members": ":".join(map(str, stands.roll)), "seed": f"{seed:016x}", "stop_ms": 800,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": SETTINGS,
+            "name": name,
+            "listen": f"{listen[0]}:{listen[1]}",
+            "agent": ":".join(map(str, stands.agent)),
+            "members": ":".join(map(str, stands.roll)),
+            "seed": f"{seed:016x}",
+            "stop_ms": 800,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "settings": SETTINGS,
         }
         self.config, self.operators = folder / f"{name}.json", folder / f"{name}.toml"
         self.config.write_text(json.dumps(conf))
@@ -138,8 +159,8 @@
             bug = ["--wall-leases"] if self.wall_leases else []
             serve[2:3] = ["rig.sockets.stepped", *bug, str(self.wall)]
             self.process = subprocess.Popen(
-                serve, cwd=ROOT, stdout=self.log, stderr=self.log,
-                env={**os.environ, "PYTHONPATH": str(ROOT)})
+                serve, cwd=ROOT, stdout=self.log, stderr=self.log, env={**os.environ, "PYTHONPATH": str(ROOT)}
+            )
 
     def signal(self, number: int) -> None:
         if self.process is not None and self.process.poll() is None:
@@ -157,7 +178,13 @@
     first."""
 
     def __init__(
-        self, seed: int, members: int, voters: int, duties: int, fence: bool, folder: Path,
+        self,
+        seed: int,
+        members: int,
+        voters: int,
+        duties: int,
+        fence: bool,
+        folder: Path,
         trusted: bool = False,
     ) -> None:
         self.trusted = trusted
@@ -182,10 +209,20 @@
 
     def _operators(self, me: str, names: list[str], homes: dict[str, tuple[str, int]]) -> str:
         """Each member's own view of the addresses: its peers behind their proxies."""
-        lines = ["[fleet]", "on = true", 'name = "rig"', f"folder = {json.dumps(str(self.folder))}",
-                 f"voters = {json.dumps(self.voters)}", f"trust_disk = {json.dumps(self.trusted)}",
-                 f"lease_ms = {LEASE_MS:g}", "reply_ms = 200",
-                 "probe_ms = 300", "probe_reply_ms = 100", "suspect_ms = 900", "even_ms = 2000"]
+        lines = [
+            "[fleet]",
+            "on = true",
+            'name = "rig"',
+            f"folder = {json.dumps(str(self.folder))}",
+            f"voters = {json.dumps(self.voters)}",
+            f"trust_disk = {json.dumps(self.trusted)}",
+            f"lease_ms = {LEASE_MS:g}",
+            "reply_ms = 200",
+            "probe_ms = 300",
+            "probe_reply_ms = 100",
+            "suspect_ms = 900",
+            "even_ms = 2000",
+        ]
         for i, name in enumerate(names):
             link = self.links.get((me, name))
             at = homes[name] if link is None else link.address
@@ -270,8 +307,11 @@
     def _reaches(self, name: str) -> bool:
         if not self._runs(name):
             return False
-        there = {other for other in self.backends if self._runs(other)
-                 and (other == name or self.links[min(name, other), max(name, other)].open())}
+        there = {
+            other
+            for other in self.backends
+            if self._runs(other) and (other == name or self.links[min(name, other), max(name, other)].open())
+        }
         return all(len(there & voters) > len(voters) // 2 for voters in self.rosters)
 
     def _runs(self, name: str) -> bool:
@@ -306,7 +346,8 @@
         """What `myrtlecrank fleet ...` says with one member's file, without holding the rig's own loop."""
         command = self.backends[by].command("fleet", *words)
         found: Any = gevent.get_hub().threadpool.apply(
-            subprocess.run, (command,), {"cwd": str(ROOT), "capture_output": True, "text": True})
+            subprocess.run, (command,), {"cwd": str(ROOT), "capture_output": True, "text": True}
+        )
         return found  # type: ignore[no-any-return]
 
     replacing = False
@@ -366,8 +407,12 @@
         usual = 4.0 * STEP_MS
         gaps = resource.gaps(began, end, self.duties)
         unowned = sum(max(0.0, self.away.outside(a, b) - usual) for a, b in gaps)
-        changes = [self.away.outside(a.at, b.at) for duty in self.duties
-                   for a, b in pairwise([t for t in resource.taken if t.duty == duty]) if a.owner != b.owner]
+        changes = [
+            self.away.outside(a.at, b.at)
+            for duty in self.duties
+            for a, b in pairwise([t for t in resource.taken if t.duty == duty])
+            if a.owner != b.owner
+        ]
         changes.sort()
         figures: dict[str, float] = {
             **resource.figures(),
@@ -376,21 +421,33 @@
             "owner_changes": len(changes),
             "majority_away_share": round(self.away.total() / (end - began), 4),
             "voters_changed": self.voters_changed,
-            "stuck": sum(end - max(t.at for t in resource.taken if t.duty == one) > 3000.0
-                         for one in self.duties),
+            "stuck": sum(
+                end - max(t.at for t in resource.taken if t.duty == one) > 3000.0 for one in self.duties
+            ),
             "faults": len(self.script),
             "link_bytes_a_member_a_second": round(
                 sum(w.bytes for one in self.links.values() for w in (one.out, one.back))
-                / len(self.backends) / (end / 1000.0)),
+                / len(self.backends)
+                / (end / 1000.0)
+            ),
         }
         trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.taken]
         wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures.get(key, 0) > most]
         return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
 
 
-def play(seed: int, seconds: float = 40.0, every: float = 2.0, members: int = 5, voters: int = 3,
-         duties: int = 4, fence: bool = True, keep: Path | None = None, trusted: bool = True,
-         wall_leases: bool = False) -> Played:
+def play(
+    seed: int,
+    seconds: float = 40.0,
+    every: float = 2.0,
+    members: int = 5,
+    voters: int = 3,
+    duties: int = 4,
+    fence: bool = True,
+    keep: Path | None = None,
+    trusted: bool = True,
+    wall_leases: bool = False,
+) -> Played:
     """Real processes in real time. `every`: seconds between faults in the mean, 0 for none. `keep`: a folder
     for logs."""
     with tempfile.TemporaryDirectory() as usual:
--- a/rig/sockets/proxy.py
+++ b/rig/sockets/proxy.py
@@ -63,8 +63,10 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         pair = (near, far)
         self.pairs.add(pair)
-        gevent.joinall([gevent.spawn(self._carry, near, far, self.out),
-                        gevent.spawn(self._carry, far, near, self.back)], count=1)
+        gevent.joinall(
+            [gevent.spawn(self._carry, near, far, self.out), gevent.spawn(self._carry, far, near, self.back)],
+            count=1,
+        )
         self._end(pair)
 
     def _end(self, pair: tuple[socket.socket, socket.socket]) -> None:
--- a/rig/sockets/stepped.py
+++ b/rig/sockets/stepped.py
@@ -29,7 +29,7 @@
 
     if planted:
         actor.mono_ms = lambda: time.time() * 1000.0
-    cli.main(sys.argv[3 if planted else 2:], prog_name="myrtlecrank")
+    cli.main(sys.argv[3 if planted else 2 :], prog_name="myrtlecrank")
 
 
 if __name__ == "__main__":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,10 +25,21 @@
 
 
 FACTS: dict[str, Any] = {
-    "seed": 1, "cores": 4, "memory_kb": 10_000.0, "run_weight": 10.0, "key_kb": 1.0,
-    "crowd_per_core": 5.0, "crowd_over": 2000.0, "cold": False, "cold_from": 0.2, "warm_within": 10_000.0,
-    "drain_grace": 1000.0, "answer_slack": 60.0, "tick": 2.0,
-    "halting": port.Halting.DROP, "wait_limit": 1000.0,
+    "seed": 1,
+    "cores": 4,
+    "memory_kb": 10_000.0,
+    "run_weight": 10.0,
+    "key_kb": 1.0,
+    "crowd_per_core": 5.0,
+    "crowd_over": 2000.0,
+    "cold": False,
+    "cold_from": 0.2,
+    "warm_within": 10_000.0,
+    "drain_grace": 1000.0,
+    "answer_slack": 60.0,
+    "tick": 2.0,
+    "halting": port.Halting.DROP,
+    "wait_limit": 1000.0,
 }
 
 
--- a/tests/test_below.py
+++ b/tests/test_below.py
@@ -60,8 +60,11 @@
     ring = Ring()
     ring.append(b"aa DONE 3\r\nx\r\n\r\nbb WAIT 30\r\ncc ERROR\r\ndd PAST\r\nee EMPTY\r\nff DONE 9\r\nshort")
     assert [(r.ident, r.outcome, r.result) for r in lines.replies(ring)] == [
-        ("aa", Outcome.OK, b"x\r\n"), ("bb", Outcome.FULL, b""), ("cc", Outcome.ERROR, b""),
-        ("dd", Outcome.TIMEOUT, b""), ("ee", Outcome.ERROR, b""),
+        ("aa", Outcome.OK, b"x\r\n"),
+        ("bb", Outcome.FULL, b""),
+        ("cc", Outcome.ERROR, b""),
+        ("dd", Outcome.TIMEOUT, b""),
+        ("ee", Outcome.ERROR, b""),
     ]
 
 
@@ -192,7 +195,7 @@
 
 
 def test_a_call_whose_end_is_never_told_is_given_up_and_an_abandoned_one_is_not_waited_for(
-    layer: Layer
+    layer: Layer,
 ) -> None:
     layer.link.mailbox.post(Call("aa", 900.0, b"q"))
     layer.link.mailbox.post(Call("bb", 50.0, b"q"))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -205,7 +205,9 @@
     play.turn(5.0, RunEnded("aa", Outcome.MOOT, 0.0, b"", refused=True))
     play.turn(6.0, RunEnded("aa", Outcome.OK, 1.0, b"result"))
     assert [(a.ticket, a.verdict) for a in play.answers] == [
-        (first, Verdict.TERMINATED), (second, Verdict.COMPLETED)]
+        (first, Verdict.TERMINATED),
+        (second, Verdict.COMPLETED),
+    ]
 
 
 def test_one_under_a_name_that_the_agent_runs_is_turned_away_soon() -> None:
@@ -366,8 +368,15 @@
         if now < 9000.0 and chance.random() < 0.15:
             ident = f"{len(tickets):x}"
             about = chance.choice(["", "stop 1", "stop 2"])
-            tickets[ident] = play.ask(ident, now, group=chance.randrange(2), about=about, reached=now - 3.0,
-                                      wait=chance.choice([0.0, 40.0, 300.0, 2000.0, 4000.0]), kb=60.0)
+            tickets[ident] = play.ask(
+                ident,
+                now,
+                group=chance.randrange(2),
+                about=about,
+                reached=now - 3.0,
+                wait=chance.choice([0.0, 40.0, 300.0, 2000.0, 4000.0]),
+                kb=60.0,
+            )
         if chance.random() < 0.02:
             linked = not linked
             letters.append(Greeted(False, now) if linked else Parted(chance.choice(list(End))))
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -28,8 +28,9 @@
 class Door:
     """A front whose module's actor does not run: its mailbox is read by hand."""
 
-    def __init__(self, sockets: int = 1024, kind: Kind = Kind.REPEATABLE, most: int | None = None,
-                 **others: Any) -> None:
+    def __init__(
+        self, sockets: int = 1024, kind: Kind = Kind.REPEATABLE, most: int | None = None, **others: Any
+    ) -> None:
         self.play = Play(group(kind), tenants=[Tenant("acme", 1.0, 10.0)], idle=30_000.0, **others)
         self.core = self.play.core
         self.front = Front(("127.0.0.1", 0), sockets, self.core)
@@ -112,8 +113,18 @@
     assert read(sock) == (codec.CHECKED, 3, b"\x01\x01\x01v\x01\x000")
 
 
-@pytest.mark.parametrize("changes", [{"c": "other"}, {"t": "other"}, {"t": None}, {"d": None}, {"m": "x"},
-                                     {"s": "99999999999999"}, {"d": "8001"}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"c": "other"},
+        {"t": "other"},
+        {"t": None},
+        {"d": None},
+        {"m": "x"},
+        {"s": "99999999999999"},
+        {"d": "8001"},
+    ],
+)
 def test_an_exchange_that_cannot_be_taken_in_is_terminated_alone(door: Door, changes: Any) -> None:
     _, sock = door.open()
     sock.sendall(ask_bytes(1, **changes) + ask_bytes(2))
@@ -256,7 +267,7 @@
     else:
         door.front.sweep(connection.last_used + 10_000.0)
     assert connection.end is None and read(sock) == (codec.ANSWER, 1, b"\0\0" + result)
-    sock.sendall(ask_bytes(2)[20 if what == "half" else 0:])
+    sock.sendall(ask_bytes(2)[20 if what == "half" else 0 :])
     assert len(door.tickets(1)) == 1
 
 
@@ -336,8 +347,15 @@
     assert connection.end is End.STUCK
 
 
-@pytest.mark.parametrize("said", [b"", ask_bytes(1)[:20], ask_bytes(1, body=bytes(50_000))[:30_000],
-                                  codec.framed(codec.CHECK, 3, b"\0") + ask_bytes(1)[:3]])
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"",
+        ask_bytes(1)[:20],
+        ask_bytes(1, body=bytes(50_000))[:30_000],
+        codec.framed(codec.CHECK, 3, b"\0") + ask_bytes(1)[:3],
+    ],
+)
 def test_a_connection_that_brings_no_whole_frame_in_time_is_closed(door: Door, said: bytes) -> None:
     (connection, sock), (sound, other) = door.open(), door.open()
     sock.sendall(said)
@@ -366,7 +384,7 @@
 
     class Full:
         def recv_into(self, room: Any) -> int:
-            room[:] = (long * 2)[:len(room)]
+            room[:] = (long * 2)[: len(room)]
             turns[0] += 1
             return len(room) if turns[0] < 5000 else 0
 
--- a/tests/test_farm.py
+++ b/tests/test_farm.py
@@ -19,7 +19,8 @@
 RESULT = b"a\r\noutcome 9 ff PASS 1 0\r\n"
 SPEECH = (
     b"greeting EMPTY 12.5\r\n"
-    b"outcome 1 aa PASS 30.5 %d\r\n%b\r\n" % (len(RESULT), RESULT)
+    b"outcome 1 aa PASS 30.5 %d\r\n%b\r\n"
+    % (len(RESULT), RESULT)
     + b"aside 2 the weather is 5\r\noutcome 3 bb KILLED 7 0\r\n\r\nsampled b1 0.5 3 0.25 12\r\n"
     b"refusal launch cc\r\nhum\r\noutcome 4 cc SOMEHOW 1 0\r\n\r\noutcome 4 dd NOOP 0 0\r\n\r\n"
 )
@@ -62,10 +63,16 @@
         heard(raw)
 
 
-@pytest.mark.parametrize("raw", [
-    b"sampled b1 nan 3 0.2 1", b"sampled b1 0.5 inf 0.2 1", b"sampled b1 -1 3 0.2 1", b"greeting LOADED nan",
-    b"outcome 1 aa PASS nan 0\r\n",
-])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"sampled b1 nan 3 0.2 1",
+        b"sampled b1 0.5 inf 0.2 1",
+        b"sampled b1 -1 3 0.2 1",
+        b"greeting LOADED nan",
+        b"outcome 1 aa PASS nan 0\r\n",
+    ],
+)
 def test_figures_that_are_none_are_not_taken_in(raw: bytes) -> None:
     assert heard(raw + b"\r\n") == []
 
@@ -84,7 +91,7 @@
 
 
 def test_an_agent_that_was_started_again_is_read_from_its_first_notice_on(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     links: list[Any] = []
     letters: Mailbox[Any] = Mailbox(100)
@@ -169,9 +176,7 @@
 
 
 @pytest.mark.parametrize("hangs", [False, True])
-def test_a_link_that_ends_or_hangs_is_opened_again_from_the_last_notice(
-    hangs: bool
-) -> None:
+def test_a_link_that_ends_or_hangs_is_opened_again_from_the_last_notice(hangs: bool) -> None:
     links: list[Any] = []
     letters: Mailbox[Any] = Mailbox(100)
     with gevent.Timeout(30), socket.socket() as listener:
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -34,8 +34,14 @@
     came: Queue[Any] = Queue()
 
     def made(name: str) -> Links:
-        return Links("f", name, addresses, 16, lambda sender, message: came.put((name, sender, message)),
-                     lambda _: Report([{"x": 1}]))
+        return Links(
+            "f",
+            name,
+            addresses,
+            16,
+            lambda sender, message: came.put((name, sender, message)),
+            lambda _: Report([{"x": 1}]),
+        )
 
     links = [made(name) for name in addresses]
     runs = [gevent.spawn(one.run) for one in links]
@@ -151,7 +157,7 @@
     near, far = socket.socketpair()
     raw = packed(Ping(7, [])) + packed(Ack(8, []))
     reader = Reader(far)
-    sender = gevent.spawn(lambda: [(near.sendall(raw[i:i + 1]), gevent.sleep(0)) for i in range(len(raw))])
+    sender = gevent.spawn(lambda: [(near.sendall(raw[i : i + 1]), gevent.sleep(0)) for i in range(len(raw))])
     assert reader.next() == Ping(7, []) and reader.next() == Ack(8, [])
     near.sendall(LENGTH.pack(LONGEST + 1))
     with pytest.raises(RefusedError, match="announced"):
@@ -196,20 +202,30 @@
         (('["a", "b", "c"]', '["a", "b", "b"]'), "[fleet] voters: one is named twice"),
         (('"guides"', '""'), "[fleet] name: is ''; allowed: a text that is not empty"),
         (('folder = "/var/lib/x"', ""), "[fleet] folder: voters need one that outlasts them"),
-        (("127.0.0.1:2", "localhost:2"),
-         "[fleet] members.b at: 'localhost:2' is not an IPv4 address with a port"),
+        (
+            ("127.0.0.1:2", "localhost:2"),
+            "[fleet] members.b at: 'localhost:2' is not an IPv4 address with a port",
+        ),
         (("127.0.0.1:2", "127.0.0.1:1"), "[fleet] members.b at: 127.0.0.1:1 is that of a too"),
         (('zone = "z"', "zone = 3"), "[fleet.members.b] zone: is 3; allowed: a text"),
         (('zone = "z"', 'zoen = "z"'), "[fleet.members.b] zoen: unknown; is 'zone' meant?"),
-        (('to = "127.0.0.1:9"', 'to = "127.0.0.1:9"\ndeadline_ms = 5000'),
-         "[fleet] duties.sweep deadline_ms: is 5000, above lease_ms 2000: no owner could end such a step"),
-        (('name = "guides"', 'name = "guides"\nlease_ms = 500'),
-         "[fleet] reply_ms: is 250; four of them have to fit into lease_ms 500, or a renewal that is "
-         "repeated once comes too late"),
-        (('name = "guides"', 'name = "guides"\nprobe_reply_ms = 500'),
-         "[fleet] probe_reply_ms: is 500, not below probe_ms 500"),
-        (('name = "guides"', 'name = "guides"\ndrift = nan'),
-         "[fleet] drift: is nan; allowed: a number from 0 to 0.2"),
+        (
+            ('to = "127.0.0.1:9"', 'to = "127.0.0.1:9"\ndeadline_ms = 5000'),
+            "[fleet] duties.sweep deadline_ms: is 5000, above lease_ms 2000: no owner could end such a step",
+        ),
+        (
+            ('name = "guides"', 'name = "guides"\nlease_ms = 500'),
+            "[fleet] reply_ms: is 250; four of them have to fit into lease_ms 500, or a renewal that is "
+            "repeated once comes too late",
+        ),
+        (
+            ('name = "guides"', 'name = "guides"\nprobe_reply_ms = 500'),
+            "[fleet] probe_reply_ms: is 500, not below probe_ms 500",
+        ),
+        (
+            ('name = "guides"', 'name = "guides"\ndrift = nan'),
+            "[fleet] drift: is nan; allowed: a number from 0 to 0.2",
+        ),
     ],
 )
 def test_each_mistake_is_one_plain_line_and_nothing_is_taken(
@@ -228,21 +244,31 @@
     assert done.returncode == 2 and "[fleet] members: this backend, 'n3', is none of them" in done.stderr
 
 
-LOADED = ("import sys, myrtlecrank.cli, myrtlecrank.serve, myrtlecrank.subsystems as s; s.load({!r}); "
-          "print([m for m in sys.modules if 'fleet' in m or m.startswith(('msgspec', 'sqlite3'))])")
+LOADED = (
+    "import sys, myrtlecrank.cli, myrtlecrank.serve, myrtlecrank.subsystems as s; s.load({!r}); "
+    "print([m for m in sys.modules if 'fleet' in m or m.startswith(('msgspec', 'sqlite3'))])"
+)
 
 
 def test_without_its_section_nothing_of_the_fleet_is_imported() -> None:
     """The file of this platform leaves it out: `run` pays nothing for it."""
-    done = subprocess.run([sys.executable, "-c", LOADED.format("deploy/operators.toml")], cwd=ROOT,
-                          capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", LOADED.format("deploy/operators.toml")],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     assert done.stdout.strip() == "[]"
 
 
 def test_the_same_look_sees_it_where_the_section_is_on(tmp_path: Path) -> None:
     (tmp_path / "operators.toml").write_text(GOOD)
-    done = subprocess.run([sys.executable, "-c", LOADED.format(str(tmp_path / "operators.toml"))], cwd=ROOT,
-                          capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", LOADED.format(str(tmp_path / "operators.toml"))],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     assert "myrtlecrank.fleet.bounds" in done.stdout
-
-
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -61,9 +61,9 @@
 
 def test_a_helper_probes_and_passes_the_answer_on() -> None:
     view = members("h", "a", "b")
-    (to, ping), = view.heard("a", PingFor(7, "b", []), 0.0)
+    ((to, ping),) = view.heard("a", PingFor(7, "b", []), 0.0)
     assert to == "b" and isinstance(ping, Ping)
-    (back, ack), = view.heard("b", Ack(ping.seq, []), 10.0)
+    ((back, ack),) = view.heard("b", Ack(ping.seq, []), 10.0)
     assert back == "a" and isinstance(ack, Ack) and ack.seq == 7
 
 
--- a/tests/test_fleet_owner.py
+++ b/tests/test_fleet_owner.py
@@ -364,10 +364,20 @@
 
 
 def test_a_file_read_anew_changes_how_duties_are_worked_on_and_nothing_else() -> None:
-    old = Bounds(name="f", voters=("a", "b", "c"), lease_ms=2000.0,
-                 duties={"d": DutyOf(to="127.0.0.1:1"), "gone": DutyOf(to="127.0.0.1:2")})
-    new = Bounds(name="f", voters=("a", "b", "e"), lease_ms=900.0, together=2, even_ms=500.0,
-                 duties={"d": DutyOf(to="127.0.0.1:9", every_ms=50.0, share=0.5), "new": DutyOf()})
+    old = Bounds(
+        name="f",
+        voters=("a", "b", "c"),
+        lease_ms=2000.0,
+        duties={"d": DutyOf(to="127.0.0.1:1"), "gone": DutyOf(to="127.0.0.1:2")},
+    )
+    new = Bounds(
+        name="f",
+        voters=("a", "b", "e"),
+        lease_ms=900.0,
+        together=2,
+        even_ms=500.0,
+        duties={"d": DutyOf(to="127.0.0.1:9", every_ms=50.0, share=0.5), "new": DutyOf()},
+    )
     held = taken_over(old, new)
     assert (held.together, held.even_ms, held.lease_ms) == (2, 500.0, 2000.0)
     changed = DutyOf(to="127.0.0.1:1", every_ms=50.0, share=0.5)
--- a/tests/test_fleet_play.py
+++ b/tests/test_fleet_play.py
@@ -13,8 +13,10 @@
 def test_the_resource_refuses_what_is_late_and_knows_a_step_again() -> None:
     resource = Resource()
     came = [("a", 1, 1), ("b", 2, 1), ("b", 2, 2), ("a", 1, 2), ("b", 2, 4)]
-    said = [resource.offered(float(i), who, Effect("d", epoch, step, 0.0))
-            for i, (who, epoch, step) in enumerate(came)]
+    said = [
+        resource.offered(float(i), who, Effect("d", epoch, step, 0.0))
+        for i, (who, epoch, step) in enumerate(came)
+    ]
     assert said == [True, True, True, False, True]
     assert (resource.late_offered, resource.late_taken, resource.again_offered) == (1, 0, 1)
     assert resource.steps_lost() == 1 and resource.owners_at_once() == 1
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -384,8 +384,9 @@
 
 def owner_changes(play: RealPlay) -> int:
     taken = play.stands.resource.taken
-    return sum(a.owner != b.owner for duty in play.duties
-               for a, b in pairwise([t for t in taken if t.duty == duty]))
+    return sum(
+        a.owner != b.owner for duty in play.duties for a, b in pairwise([t for t in taken if t.duty == duty])
+    )
 
 
 def test_a_handover_to_a_member_that_dies_as_it_accepts_goes_to_another(four: RealPlay) -> None:
@@ -411,8 +412,11 @@
         text = backend.operators.read_text().replace('"n1", "n1"]', '"n1"]')
         backend.operators.write_text(text.replace('["n0", "n1"]', '["n0"]'))
         backend.signal(signal.SIGHUP)
-    fleet.wait(lambda: all("replace-voters` alone" in (fleet.folder / f"{name}.log").read_text()
-                           for name in fleet.backends))
+    fleet.wait(
+        lambda: all(
+            "replace-voters` alone" in (fleet.folder / f"{name}.log").read_text() for name in fleet.backends
+        )
+    )
     gevent.sleep(0.5)
     before = steps(fleet)
     gevent.sleep(3.0)
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -59,8 +59,7 @@
         if voters is None:
             for disk in self.disks.values():
                 disk.found(NAMES)
-            voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].keep, "f")
-                      for n in NAMES}
+            voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].keep, "f") for n in NAMES}
         self.voters, self.away = voters, set[str]()
         self.proposer = Proposer(ident, ROSTER, lambda: 0.5, tries=3)
 
@@ -115,7 +114,7 @@
 
 
 def test_a_change_over_what_no_longer_stands_changes_nothing_and_tells_what_does(
-    pair: tuple[Register, Register]
+    pair: tuple[Register, Register],
 ) -> None:
     first = pair[0].change("k", NOTHING, b"x")
     assert pair[1].change("k", NOTHING, b"y") == Outcome(Result.CONFLICT, first.record)
@@ -123,7 +122,7 @@
 
 
 def test_a_record_is_known_by_its_writer_and_not_by_its_version_alone(
-    pair: tuple[Register, Register]
+    pair: tuple[Register, Register],
 ) -> None:
     """Two calls may have tried for one version; a change over the one that lost must not pass for the
     other."""
@@ -323,8 +322,10 @@
 
 
 CASES: dict[str, tuple[Callable[[bytes], bytes], str]] = {
-    "cut": (lambda raw: raw[:-3], "torn"), "short": (lambda raw: raw[:5], "shorter than its header"),
-    "bit": (lambda raw: raw[:-1] + bytes([raw[-1] ^ 1]), "torn"), "other": (lambda _: b"x" * 100, "no voter"),
+    "cut": (lambda raw: raw[:-3], "torn"),
+    "short": (lambda raw: raw[:5], "shorter than its header"),
+    "bit": (lambda raw: raw[:-1] + bytes([raw[-1] ^ 1]), "torn"),
+    "other": (lambda _: b"x" * 100, "no voter"),
     "newer": (lambda raw: raw[:4] + b"\x09\x00" + raw[6:], "version 9"),
     "longer": (lambda raw: raw + b"x", "torn"),
 }
@@ -381,8 +382,9 @@
     assert history.play(5).history == history.play(5).history
 
 
-@pytest.mark.parametrize(("bug", "seeds"), [("stale", range(20, 21)), ("ballot", range(299, 300)),
-                                            ("forget", range(27, 28))])
+@pytest.mark.parametrize(
+    ("bug", "seeds"), [("stale", range(20, 21)), ("ballot", range(299, 300)), ("forget", range(27, 28))]
+)
 def test_planted_bugs_of_the_register_are_found(bug: str, seeds: range) -> None:
     plant = {"stale": history.stale_read, "ballot": history.ballot_again}.get(bug)
     assert not all(history.play(seed, plant=plant, forget=bug == "forget").ok for seed in seeds)
--- a/tests/test_fleet_reseat.py
+++ b/tests/test_fleet_reseat.py
@@ -132,8 +132,12 @@
 
 @pytest.mark.parametrize(
     ("drop", "add", "message"),
-    [("x", "", "'x' is no voter"), ("", "ab", "'a' votes already"), ("c", "", "2 voters"),
-     ("", "d", "4 voters")],
+    [
+        ("x", "", "'x' is no voter"),
+        ("", "ab", "'a' votes already"),
+        ("c", "", "2 voters"),
+        ("", "d", "4 voters"),
+    ],
 )
 def test_a_roster_that_cannot_be_is_told_in_one_line(drop: str, add: str, message: str) -> None:
     with pytest.raises(ValueError, match=message):
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -55,7 +55,7 @@
 def test_one_that_left_is_no_longer_told_of() -> None:
     one, _ = watching()
     one.told("b", Told(1, 1, OTHER), 10.0)
-    (_, message), = one.tick(1000.0, 1, ["a", "c"], "a", MINE)
+    ((_, message),) = one.tick(1000.0, 1, ["a", "c"], "a", MINE)
     assert [seen.member for seen in message.seen] == ["a"]
 
 
@@ -63,7 +63,7 @@
     one, _ = watching()
     one.told("b", Told(1, 1, OTHER), 10.0)
     one.tick(2000.0, None, ["a", "b"], "a", MINE)
-    (_, message), = one.tick(2100.0, 5, ["a", "b"], "a", MINE)
+    ((_, message),) = one.tick(2100.0, 5, ["a", "b"], "a", MINE)
     assert message == Watched(5, 1, [Seen("a", MINE, 0.0)])
 
 
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -42,12 +42,27 @@
 @pytest.mark.parametrize(
     ("changes", "why"),
     [
-        ({"i": "xyz"}, "'i'"), ({"i": None}, "'i'"), ({"c": None}, "'c'"), ({"s": "soon"}, "'s'"),
-        ({"s": "nan"}, "'s'"), ({"d": "-1"}, "'d'"), ({"m": "inf"}, "'m'"), ({"p": "1"}, "'p'"),
-        ({"m": "0"}, "memory"), ({"m": "1e2"}, "'m'"), ({"m": "1_0"}, "'m'"), ({"m": " 1"}, "'m'"),
-        ({"p": "-0.1"}, "'p'"), ({"f": "1.5"}, "'f'"), ({"s": "1.5"}, "'s'"), ({"d": "1e9"}, "'d'"),
-        ({"t": "\udcff"}, "no text"), ({"f": None}, "'f'"), ({"k": "k" * 257}, "key"),
-        ({"body": b"x" * 2049}, "body of 2049"), ({"doubled": "t"}, "twice"),
+        ({"i": "xyz"}, "'i'"),
+        ({"i": None}, "'i'"),
+        ({"c": None}, "'c'"),
+        ({"s": "soon"}, "'s'"),
+        ({"s": "nan"}, "'s'"),
+        ({"d": "-1"}, "'d'"),
+        ({"m": "inf"}, "'m'"),
+        ({"p": "1"}, "'p'"),
+        ({"m": "0"}, "memory"),
+        ({"m": "1e2"}, "'m'"),
+        ({"m": "1_0"}, "'m'"),
+        ({"m": " 1"}, "'m'"),
+        ({"p": "-0.1"}, "'p'"),
+        ({"f": "1.5"}, "'f'"),
+        ({"s": "1.5"}, "'s'"),
+        ({"d": "1e9"}, "'d'"),
+        ({"t": "\udcff"}, "no text"),
+        ({"f": None}, "'f'"),
+        ({"k": "k" * 257}, "key"),
+        ({"body": b"x" * 2049}, "body of 2049"),
+        ({"doubled": "t"}, "twice"),
     ],
 )
 def test_what_spoils_one_exchange_leaves_the_next_readable(changes: dict[str, Any], why: str) -> None:
@@ -58,8 +73,14 @@
 
 @pytest.mark.parametrize(
     "raw",
-    [b"\x04\0\0\0", b"\x01\0\x04\0", codec.framed(99, 1, b""), codec.framed(codec.ANSWER, 1, b"")[:9],
-     codec.framed(codec.ASK, 0, b"\0"), codec.framed(codec.CHECK, 1, b"\x01")],
+    [
+        b"\x04\0\0\0",
+        b"\x01\0\x04\0",
+        codec.framed(99, 1, b""),
+        codec.framed(codec.ANSWER, 1, b"")[:9],
+        codec.framed(codec.ASK, 0, b"\0"),
+        codec.framed(codec.CHECK, 1, b"\x01"),
+    ],
 )
 def test_what_is_no_frame_breaks_the_connection(raw: bytes) -> None:
     with pytest.raises(codec.Broken):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -126,8 +126,11 @@
     play.ask("fe", 60.0, about="k", body=b"forged")
     play.turn(61.0)
     assert launched(play) == ["aa"]
-    assert verdicts(play) == [("aa", Verdict.COMPLETED, b"r"), ("ff", Verdict.TERMINATED, b""),
-                              ("fe", Verdict.TERMINATED, b"")]
+    assert verdicts(play) == [
+        ("aa", Verdict.COMPLETED, b"r"),
+        ("ff", Verdict.TERMINATED, b""),
+        ("fe", Verdict.TERMINATED, b""),
+    ]
 
 
 def test_one_that_used_a_key_before_its_owner_costs_the_owner_nothing() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -23,12 +23,21 @@
 
 GROUP = {"name": "group", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000}
 WHOLE = {
-    "name": "n3", "listen": "127.0.0.1:8080", "agent": "127.0.0.1:7300", "members": "127.0.0.1:8500",
-    "seed": "8c1f30d27a5be964", "stop_ms": 3200, "limits": {"sockets": 1024},
+    "name": "n3",
+    "listen": "127.0.0.1:8080",
+    "agent": "127.0.0.1:7300",
+    "members": "127.0.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "stop_ms": 3200,
+    "limits": {"sockets": 1024},
     "settings": {
         "categories": [GROUP],
-        "domain": {"cores": 2, "memoryKb": 1000.0, "signal": "tokens",
-                   "gauges": ["links", "new", "core_use"]},
+        "domain": {
+            "cores": 2,
+            "memoryKb": 1000.0,
+            "signal": "tokens",
+            "gauges": ["links", "new", "core_use"],
+        },
         "guarantees": {"fallMultiple": 4.0, "fall": 2_000_000},
         "tenants": [{"name": "acme", "share": 1.0, "allowancePerS": 10.0}],
     },
@@ -55,8 +64,11 @@
 @pytest.mark.parametrize(
     ("path", "value", "message"),
     [
-        ("listen", "localhost:80", "not an IPv4 address"), ("agent", "127.0.0.1:0", "no usable port"),
-        ("seed", "xyz", "not hexadecimal"), ("stop_ms", 0, "not above 0"), ("name", None, "lacks"),
+        ("listen", "localhost:80", "not an IPv4 address"),
+        ("agent", "127.0.0.1:0", "no usable port"),
+        ("seed", "xyz", "not hexadecimal"),
+        ("stop_ms", 0, "not above 0"),
+        ("name", None, "lacks"),
         ("settings/categories", [], "at least one"),
         ("settings/domain/cores", "2", "not an integer"),
         ("settings/categories", [{**GROUP, "aim": 5_000_000}], "within its deadline"),
@@ -76,9 +88,13 @@
 
 @pytest.mark.parametrize(
     ("text", "message"),
-    [("[" * 100_000, "not JSON"), ('{"stop_ms": NaN}', "not JSON"), (" " * 4_000_001, "longer than"),
-     (json.dumps(changed("stop_ms", 10**400)), "senseless"),
-     (json.dumps(changed("agent", "1.2.3.\u00b2:7")), "IPv4")],
+    [
+        ("[" * 100_000, "not JSON"),
+        ('{"stop_ms": NaN}', "not JSON"),
+        (" " * 4_000_001, "longer than"),
+        (json.dumps(changed("stop_ms", 10**400)), "senseless"),
+        (json.dumps(changed("agent", "1.2.3.\u00b2:7")), "IPv4"),
+    ],
 )
 def test_whatever_a_file_holds_reading_it_fails_with_one_line(
     text: str, message: str, tmp_path: Path
@@ -116,8 +132,11 @@
     file = tmp_path / "config.json"
     file.write_text(told if isinstance(told, str) else json.dumps(told))
     return subprocess.Popen(
-        [sys.executable, "-m", "myrtlecrank", *words], env={**os.environ, "PROXY_CONFIG": str(file)},
-        stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
+        [sys.executable, "-m", "myrtlecrank", *words],
+        env={**os.environ, "PROXY_CONFIG": str(file)},
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
     )
 
 
@@ -260,42 +279,53 @@
     """Of a whole program of its own, started by `text`, that is to end by itself."""
     file = tmp_path / "config.json"
     file.write_text(json.dumps(changed("listen", "{}:{}".format(*free_address())) | {"stop_ms": 300}))
-    return subprocess.run([sys.executable, "-c", text], env={**os.environ, "PROXY_CONFIG": str(file)},
-                          capture_output=True, text=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-c", text],
+        env={**os.environ, "PROXY_CONFIG": str(file)},
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
 
 
 def test_a_signal_that_comes_before_the_start_waits_for_it(tmp_path: Path) -> None:
-    text = ("import os, signal\nfrom myrtlecrank import orders\nread = orders.read\n"
-            "def slow(file):\n"
-            "    os.kill(os.getpid(), signal.SIGHUP)\n    os.kill(os.getpid(), signal.SIGTERM)\n"
-            "    return read(file)\n"
-            "orders.read = slow\n"
-            "from myrtlecrank.cli import main; main(['serve'])")
+    text = (
+        "import os, signal\nfrom myrtlecrank import orders\nread = orders.read\n"
+        "def slow(file):\n"
+        "    os.kill(os.getpid(), signal.SIGHUP)\n    os.kill(os.getpid(), signal.SIGTERM)\n"
+        "    return read(file)\n"
+        "orders.read = slow\n"
+        "from myrtlecrank.cli import main; main(['serve'])"
+    )
     done = outcome(tmp_path, text)
     assert done.returncode == 0 and "notice to leave" in done.stderr
 
 
 def test_a_signal_that_comes_while_the_program_is_loaded_waits_for_its_start(tmp_path: Path) -> None:
     """It comes at the first import of a library, long before there is a configuration."""
-    text = ("import os, runpy, signal, sys\n"
-            "class Signals:\n"
-            "    def find_spec(self, name, *_):\n"
-            "        if name == 'click':\n"
-            "            os.kill(os.getpid(), signal.SIGHUP)\n"
-            "            os.kill(os.getpid(), signal.SIGTERM)\n"
-            "sys.meta_path.insert(0, Signals())\n"
-            "sys.argv = ['myrtlecrank', 'serve']\n"
-            "runpy.run_module('myrtlecrank', run_name='__main__')")
+    text = (
+        "import os, runpy, signal, sys\n"
+        "class Signals:\n"
+        "    def find_spec(self, name, *_):\n"
+        "        if name == 'click':\n"
+        "            os.kill(os.getpid(), signal.SIGHUP)\n"
+        "            os.kill(os.getpid(), signal.SIGTERM)\n"
+        "sys.meta_path.insert(0, Signals())\n"
+        "sys.argv = ['myrtlecrank', 'serve']\n"
+        "runpy.run_module('myrtlecrank', run_name='__main__')"
+    )
     done = outcome(tmp_path, text)
     assert done.returncode == 0 and "notice to leave" in done.stderr
 
 
 def test_an_error_in_an_actor_ends_the_process_with_its_trace(tmp_path: Path) -> None:
-    text = ("import myrtlecrank.core.actor as a\n"
-            "def broken(*_): raise RuntimeError('boom')\n"
-            "a.Core.turn = broken\n"
-            "a.Core.run = lambda core: core.turn([], 0.0)\n"
-            "from myrtlecrank.cli import main; main(['serve'])")
+    text = (
+        "import myrtlecrank.core.actor as a\n"
+        "def broken(*_): raise RuntimeError('boom')\n"
+        "a.Core.turn = broken\n"
+        "a.Core.run = lambda core: core.turn([], 0.0)\n"
+        "from myrtlecrank.cli import main; main(['serve'])"
+    )
     done = outcome(tmp_path, text)
     assert done.returncode == 70 and "RuntimeError: boom" in done.stderr
 
--- a/tests/test_run_line.py
+++ b/tests/test_run_line.py
@@ -64,8 +64,12 @@
     own.mkdir()
     (hooks / "sitecustomize.py").write_text(HOOK)
     (tmp_path / "trace").touch()
-    return {"PATH": os.environ["PATH"], "PYTHONPATH": str(hooks), "TMPDIR": str(own),
-            TRACE_VARIABLE: str(tmp_path / "trace")}
+    return {
+        "PATH": os.environ["PATH"],
+        "PYTHONPATH": str(hooks),
+        "TMPDIR": str(own),
+        TRACE_VARIABLE: str(tmp_path / "trace"),
+    }
 
 
 def traced(tmp_path: Path) -> list[str]:
@@ -88,15 +92,23 @@
     agent, roll, _, told = surroundings()
     config = tmp_path / "config.json"
     config.write_text(json.dumps(told))
-    process = subprocess.Popen(["/bin/sh", "-c", line], cwd=tree, stderr=subprocess.PIPE, text=True,
-                               env=watched(tmp_path) | {"PROXY_CONFIG": str(config)})
+    process = subprocess.Popen(
+        ["/bin/sh", "-c", line],
+        cwd=tree,
+        stderr=subprocess.PIPE,
+        text=True,
+        env=watched(tmp_path) | {"PROXY_CONFIG": str(config)},
+    )
     try:
         link, _ = agent.accept()
         link.settimeout(60)
         assert link.recv(1000), "it has subscribed, so its start is over"
         program = Path(f"/proc/{process.pid}/cmdline").read_bytes()
-        children = [one for task in os.scandir(f"/proc/{process.pid}/task")
-                    for one in (Path(task.path) / "children").read_text().split()]
+        children = [
+            one
+            for task in os.scandir(f"/proc/{process.pid}/task")
+            for one in (Path(task.path) / "children").read_text().split()
+        ]
         mapped = Path(f"/proc/{process.pid}/maps").read_text()
         sockets, unix = held(process.pid)
         files = [os.readlink(entry.path) for entry in os.scandir(f"/proc/{process.pid}/fd")]
