--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 
 lint: build
 	.venv/bin/ruff check .
+	.venv/bin/ruff format --check .
 	.venv/bin/mypy
 
 run: build
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from rig.several.owners import Play, Scene
+from rig.multi_node.ownership_experiment import Play, Scene
 
 LEASE, EVERY, LENGTH = 2000.0, 1000.0, 30_000.0  # ms: the usual figures of [fleet]
 
--- a/benchmarks/register_flush.py
+++ b/benchmarks/register_flush.py
@@ -11,9 +11,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from myrtlecrank.fleet.register.decide import Voter
+from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import Disk
-from myrtlecrank.fleet.register.words import Accept, Ballot, Record
+from myrtlecrank.fleet.register.messages import Accept, Ballot, Record
 
 ROUNDS, TOGETHER, KEYS = 300, 16, 20
 
--- a/benchmarks/repeats.py
+++ b/benchmarks/repeats.py
@@ -18,9 +18,9 @@
 from loguru import logger
 
 from myrtlecrank.core.actor import Core
-from myrtlecrank.core.letters import Answer, Arrived, Greeted, Launch, RunEnded, Sample, Sampled, Ticket
-from myrtlecrank.port import Gauges, Outcome
-from myrtlecrank.repeats.bounds import Bounds
+from myrtlecrank.core.messages import Answer, Arrived, Greeted, Launch, RunEnded, Sample, Sampled, Ticket
+from myrtlecrank.policy.interface import Gauges, Outcome
+from myrtlecrank.retries.options import Bounds
 from rig.fleet import Scene
 
 ROUNDS, EXCHANGES, GAP_MS = 9, 4000, 85.0
--- a/myrtlecrank/farm/link.py
+++ b/myrtlecrank/agent/client.py
@@ -10,8 +10,10 @@
 from gevent.event import Event as Flag
 from loguru import logger
 
-from myrtlecrank.core.ends import End, of_error
-from myrtlecrank.core.letters import (
+from myrtlecrank.agent import codec
+from myrtlecrank.core.connection_errors import End, of_error
+from myrtlecrank.core.mailbox import Mailbox
+from myrtlecrank.core.messages import (
     AtCall,
     Command,
     Event,
@@ -22,10 +24,8 @@
     Sampled,
     Unsent,
 )
-from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.farm import lines
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Gauges, Outcome
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.policy.interface import Gauges, Outcome
 
 FIRST_PAUSE, LONGEST_PAUSE = 0.02, 0.25  # seconds between tries to connect
 CONNECT_S = 2.0
@@ -85,7 +85,7 @@
                     self.tell(Unsent(unsent))
                 continue
             try:
-                ring.append(b"".join(map(lines.command, wanted)))
+                ring.append(b"".join(map(codec.command, wanted)))
                 while ring:
                     ring.skip(sock.send(ring.data()))
             except OSError as error:
@@ -115,12 +115,12 @@
             sock.connect(self.address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.asked = time.monotonic() * 1000.0
-            sock.sendall(lines.subscribe(self.read))
+            sock.sendall(codec.subscribe(self.read))
             sock.settimeout(None)  # the machine may come up long after this
             return self._notices(sock, Ring(FIRST_READ))
         except OSError as error:
             return of_error(error)
-        except lines.Broken as error:
+        except codec.Broken as error:
             logger.error("the agent sent {}", error)
             return End.BROKEN
         finally:
@@ -136,8 +136,8 @@
             full = count == len(room)
             ring.wrote(count)
             self.heard = True
-            for notice in lines.notices(ring):
-                if isinstance(notice, lines.Greeting) and not self.greeted:
+            for notice in codec.notices(ring):
+                if isinstance(notice, codec.Greeting) and not self.greeted:
                     if self._began_anew(notice.up):
                         # Its notices are numbered from 1 again, which what was read before would hide.
                         self.read, self.anew = 0, True
@@ -159,33 +159,33 @@
         self.began = up, time.monotonic() * 1000.0
         return missing > ANEW_MS
 
-    def notice(self, notice: lines.Notice) -> None:
+    def notice(self, notice: codec.Notice) -> None:
         match notice:
-            case lines.Greeting(cold, up):
+            case codec.Greeting(cold, up):
                 self.tell(Greeted(cold, up, self.anew))
                 self.anew = False
-            case lines.Ended(number, ident, outcome, took, result):
+            case codec.Ended(number, ident, outcome, took, result):
                 if self._new(number):
                     self.tell(RunEnded(ident, outcome, took, result))
-            case lines.Needs(number, ident, body):
+            case codec.Needs(number, ident, body):
                 if self._new(number):
                     self.tell(AtCall(ident, body))
-            case lines.Gauged(tag, values):
+            case codec.Gauged(tag, values):
                 told = Gauges()
                 for name, value in zip(self.gauges, values, strict=False):
                     if name:
                         setattr(told, name, value)
                 self.tell(Sampled(tag, told))
-            case lines.Refused(command, ident):
+            case codec.Refused(command, ident):
                 logger.warning("the agent refused to {} {}", command, ident)
                 # A launch that was refused ran nothing; a run that it does not know has ended.
                 if command == "launch":
                     self.tell(RunEnded(ident, Outcome.MOOT, 0.0, b"", refused=True))
                 elif command == "freeze":
                     self.tell(RunEnded(ident, Outcome.CANCELLED, 0.0, b""))
-            case lines.Aside(number):
+            case codec.Aside(number):
                 self._new(number)
-            case lines.Unknown(line):
+            case codec.Unknown(line):
                 logger.warning("a notice that is not known: {!r}", line[:120])
 
     def _new(self, number: int) -> bool:
--- a/myrtlecrank/farm/lines.py
+++ b/myrtlecrank/agent/codec.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from myrtlecrank.core.letters import Command, Deliver, Forgo, Freeze, Launch, Sample
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Outcome
+from myrtlecrank.core.messages import Command, Deliver, Forgo, Freeze, Launch, Sample
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.policy.interface import Outcome
 
 LONGEST_LINE, LONGEST_RESULT = 65_536, 1_048_576
 ENDS = {
--- a/myrtlecrank/cli.py
+++ b/myrtlecrank/cli.py
@@ -9,14 +9,14 @@
 
 import click
 
-from myrtlecrank import __version__, orders, subsystems
+from myrtlecrank import __version__, configuration, subsystems
 from myrtlecrank.operators.file import OperatorsError, known
 from myrtlecrank.operators.sections import explain
 from myrtlecrank.signals import hold_signals
 from myrtlecrank.subsystems import Operators
 
 if TYPE_CHECKING:
-    from myrtlecrank.fleet.bounds import Bounds
+    from myrtlecrank.fleet.options import Bounds
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -24,10 +24,10 @@
     """An overload controller that lives inside each backend of a fleet."""
 
 
-def _read(path: str | None) -> orders.Orders:
+def _read(path: str | None) -> configuration.Orders:
     try:
-        return orders.read(path)
-    except orders.OrdersError as error:
+        return configuration.read(path)
+    except configuration.OrdersError as error:
         click.echo(f"myrtlecrank: {error}", err=True)
         sys.exit(2)
 
@@ -41,10 +41,10 @@
         sys.exit(2)
 
 
-def _placed(told: orders.Orders, operators: Operators) -> None:
+def _placed(told: configuration.Orders, operators: Operators) -> None:
     """What the two files say of each other."""
     if operators.fleet is not None:
-        from myrtlecrank.fleet.bounds import placed
+        from myrtlecrank.fleet.options import placed
 
         wrong = placed(operators.fleet, told.name)
         if wrong is not None:
@@ -76,7 +76,7 @@
     told, operators = _read(file), _operators(operators_file)
     _placed(told, operators)
     try:
-        code = run(told, operators, lambda: orders.read(file), lambda: subsystems.load(operators_file))
+        code = run(told, operators, lambda: configuration.read(file), lambda: subsystems.load(operators_file))
     except OSError as error:
         address = f"{told.listen[0]}:{told.listen[1]}"
         click.echo(f"myrtlecrank: cannot listen on {address}: {error.strerror}", err=True)
--- a/myrtlecrank/orders.py
+++ b/myrtlecrank/configuration.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-from myrtlecrank.port import Below, StartFacts
-from myrtlecrank.startfacts import FieldError, Fields, gauge_names, start_facts
+from myrtlecrank.policy.interface import Below, StartFacts
+from myrtlecrank.settings import FieldError, Fields, gauge_names, start_facts
 
 PATH_VARIABLE = "PROXY_CONFIG"
 LONGEST = 4_000_000  # bytes; a longer file is no configuration, and reading it would fill the memory
--- a/myrtlecrank/core/actor.py
+++ b/myrtlecrank/core/actor.py
@@ -15,10 +15,9 @@
 from gevent import get_hub
 from loguru import logger
 
-from myrtlecrank import port
-from myrtlecrank.core.board import Board
-from myrtlecrank.core.ends import OUTCOMES, End
-from myrtlecrank.core.letters import (
+from myrtlecrank.core.connection_errors import OUTCOMES, End
+from myrtlecrank.core.mailbox import Mailbox
+from myrtlecrank.core.messages import (
     Abandon,
     Adopt,
     Answer,
@@ -44,13 +43,14 @@
     Unsent,
     Verdict,
 )
-from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.logic import Controller
-from myrtlecrank.port import Gauges, Kind, Outcome
-from myrtlecrank.repeats import marks
-from myrtlecrank.repeats.bounds import Bounds
-from myrtlecrank.repeats.decide import Repeats, Tide
-from myrtlecrank.repeats.report import Report
+from myrtlecrank.core.published_state import Board
+from myrtlecrank.policy import interface
+from myrtlecrank.policy.controller import Controller
+from myrtlecrank.policy.interface import Gauges, Kind, Outcome
+from myrtlecrank.retries import exchange_marks
+from myrtlecrank.retries.estimator import Repeats, Tide
+from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.storm_log import Report
 
 MAILBOX = 2048
 TURN = 128  # letters taken in one turn: a long batch would keep the loop from the sockets
@@ -103,7 +103,7 @@
         "ticket",
     )
 
-    def __init__(self, ticket: Ticket, ex: port.Exchange, earlier: Entry | None) -> None:
+    def __init__(self, ticket: Ticket, ex: interface.Exchange, earlier: Entry | None) -> None:
         self.ticket, self.ex, self.earlier = ticket, ex, earlier
         self.print = hash(ticket.body)
         self.answered = self.running = self.stopping = False
@@ -124,7 +124,7 @@
 class Core:
     def __init__(
         self,
-        facts: port.StartFacts,
+        facts: interface.StartFacts,
         stop_ms: float,
         command: Callable[[Command], None],
         tell_health: Callable[[bool], None],
@@ -145,7 +145,7 @@
         self.linked = False
         self.missed: str | None = None  # the tag of the sample that follows the missed notices
         self.table: dict[str, Entry] = {}
-        self.entries: dict[port.Exchange, Entry] = {}
+        self.entries: dict[interface.Exchange, Entry] = {}
         self.unanswered = 0
         self.kept: dict[Key, tuple[Entry, float]] = {}
         self.heavy: dict[Key, None] = {}  # those that count with a result, the eldest first
@@ -317,7 +317,7 @@
             self._contest(standing, ticket)
             return
         waited = max(0.0, self.now - ticket.reached)
-        ex = port.Exchange(
+        ex = interface.Exchange(
             group=ticket.group,
             left=None if ticket.wait is None else ticket.wait - waited,
             waited=waited,
@@ -328,7 +328,7 @@
             keyed=bool(ticket.about),
             earlier=earlier.ex if earlier else None,
         )
-        marks.arrived(self.repeats, ex, ticket.body, ticket.wait, self.now)
+        exchange_marks.arrived(self.repeats, ex, ticket.body, ticket.wait, self.now)
         entry = self.table[ticket.ident] = self.entries[ex] = Entry(ticket, ex, earlier)
         self.unanswered += 1
         self.controller.arrived(ex, self.now)
@@ -415,7 +415,7 @@
             self._answered(entry)
             given_up = verdict is not Verdict.COMPLETED
             said = self.board.value
-            marks.answered(self.repeats, entry.ex, entry.ticket.body, given_up, wait, said, self.now)
+            exchange_marks.answered(self.repeats, entry.ex, entry.ticket.body, given_up, wait, said, self.now)
             self._abandon(entry)
             entry.ticket.answer(Answer(entry.ticket, verdict, result, wait, last))
 
@@ -450,51 +450,51 @@
 
     # What the module asks for
 
-    def _do(self, op: port.Operation) -> None:
+    def _do(self, op: interface.Operation) -> None:
         match op:
-            case port.Start(ex):
+            case interface.Start(ex):
                 entry = self.entries[ex]
                 entry.running = True
                 self._launch(entry)
-            case port.Halt(ex):
+            case interface.Halt(ex):
                 entry = self.entries[ex]
                 entry.stopping = True
                 if self.linked:
                     self._freeze(entry)
-            case port.Deny(ex, last, wait):
+            case interface.Deny(ex, last, wait):
                 self._answer(self.entries[ex], Verdict.DENIED, wait=wait, last=last)
                 self._tidy(self.entries[ex])
-            case port.Fail(ex):
+            case interface.Fail(ex):
                 self._answer(self.entries[ex], Verdict.TERMINATED)
                 self._tidy(self.entries[ex])
-            case port.Publish(value):
+            case interface.Publish(value):
                 self.board.value = value
-            case port.Health(on, _):
+            case interface.Health(on, _):
                 on = on and self.stop_at is None  # a machine that comes up after the notice is well in vain
                 if on != self.board.well:
                     logger.info("health is {}", "good" if on else "bad")
                 self.board.well = on
                 self.tell_health(on)
-            case port.IdleLimit(span):
+            case interface.IdleLimit(span):
                 self.board.idle = span
-            case port.Alarm(name, delay):
+            case interface.Alarm(name, delay):
                 # Counted from when the last one was due, or every wait for gauges would lengthen the beat.
                 since = self.alarm_due if self.now - self.alarm_due < delay else self.now
                 self.alarm, self.alarm_due = (name, delay), since + delay
                 self._at(self.alarm_due, self._alarm_is_due)
-            case port.Log(text):
+            case interface.Log(text):
                 logger.info("{}", text)
-            case port.Retain(ex, span):
+            case interface.Retain(ex, span):
                 self._retain(self.entries[ex], span)
-            case port.Erase(ex):
+            case interface.Erase(ex):
                 self._forget(self.entries[ex])
-            case port.Join(ex):
+            case interface.Join(ex):
                 self._ask_for(self.entries[ex])
-            case port.Call(ex, timeout):
+            case interface.Call(ex, timeout):
                 entry = self.entries[ex]
                 entry.called_at = self.now
                 self._ask_below(Call(entry.ticket.ident, timeout, entry.asked))
-            case port.Skip(ex):
+            case interface.Skip(ex):
                 self._hand_on(self.entries[ex], Forgo(self.entries[ex].ticket.ident))
 
     def _launch(self, entry: Entry) -> None:
--- a/myrtlecrank/core/ends.py
+++ b/myrtlecrank/core/connection_errors.py
@@ -5,7 +5,7 @@
 import errno
 from enum import Enum
 
-from myrtlecrank.port import Outcome
+from myrtlecrank.policy.interface import Outcome
 
 
 class End(Enum):
--- a/myrtlecrank/core/letters.py
+++ b/myrtlecrank/core/messages.py
@@ -7,9 +7,9 @@
 from enum import Enum
 from typing import Any
 
-from myrtlecrank.core.ends import End
-from myrtlecrank.port import Gauges, Outcome
-from myrtlecrank.repeats.bounds import Bounds
+from myrtlecrank.core.connection_errors import End
+from myrtlecrank.policy.interface import Gauges, Outcome
+from myrtlecrank.retries.options import Bounds
 
 
 class Verdict(Enum):
--- a/myrtlecrank/below/link.py
+++ b/myrtlecrank/dependency/client.py
@@ -8,12 +8,12 @@
 from gevent import socket
 from loguru import logger
 
-from myrtlecrank.below import lines
-from myrtlecrank.core.ends import OUTCOMES, End, of_error
-from myrtlecrank.core.letters import Abandon, Below, Call, CallEnded, Event
+from myrtlecrank.core.connection_errors import OUTCOMES, End, of_error
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Outcome
+from myrtlecrank.core.messages import Abandon, Below, Call, CallEnded, Event
+from myrtlecrank.dependency import codec
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.policy.interface import Outcome
 
 MAILBOX = 4096
 CONNECT_S = 1.0
@@ -80,7 +80,7 @@
             else:
                 holder = wire
                 wire.out[one.ident] = self.now, self.now + one.timeout
-            rings.setdefault(holder, Ring()).append(lines.command(one))
+            rings.setdefault(holder, Ring()).append(codec.command(one))
         for holder, ring in rings.items():
             self._write(holder, ring)
             if holder is not self.wire and not holder.out:
@@ -169,7 +169,7 @@
                     return End.CLOSED
                 ring.wrote(count)
                 wire.quiet_beats = 0
-                for reply in lines.replies(ring):
+                for reply in codec.replies(ring):
                     sent, _ = wire.out.pop(reply.ident, (None, 0.0))
                     if sent is not None:
                         self.longest = max(self.now - sent, FADES * self.longest)
@@ -178,6 +178,6 @@
                     return End.LEFT
         except OSError as error:
             return of_error(error)
-        except lines.Broken as error:
+        except codec.Broken as error:
             logger.error("the layer below sent {}", error)
             return End.BROKEN
--- a/myrtlecrank/below/lines.py
+++ b/myrtlecrank/dependency/codec.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from myrtlecrank.core.letters import Abandon, Below, Call
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Outcome
+from myrtlecrank.core.messages import Abandon, Below, Call
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.policy.interface import Outcome
 
 LONGEST_LINE, LONGEST_RESULT = 4096, 1_048_576
 ENDS = {
--- a/myrtlecrank/edge/caller.py
+++ b/myrtlecrank/edge/caller.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from myrtlecrank.core.actor import unix_ms
-from myrtlecrank.core.board import Board
-from myrtlecrank.core.letters import Answer, Arrived, Ticket, Verdict
 from myrtlecrank.core.mailbox import Mailbox
+from myrtlecrank.core.messages import Answer, Arrived, Ticket, Verdict
+from myrtlecrank.core.published_state import Board
 from myrtlecrank.edge.connection import Connection
 from myrtlecrank.frames import codec
 
--- a/myrtlecrank/edge/connection.py
+++ b/myrtlecrank/edge/connection.py
@@ -10,11 +10,11 @@
 from gevent.event import Event as Flag
 from loguru import logger
 
-from myrtlecrank.core.board import Board
-from myrtlecrank.core.ends import End, of_error
-from myrtlecrank.core.letters import Ticket
+from myrtlecrank.core.connection_errors import End, of_error
+from myrtlecrank.core.messages import Ticket
+from myrtlecrank.core.published_state import Board
 from myrtlecrank.frames import codec
-from myrtlecrank.frames.ring import Ring
+from myrtlecrank.frames.ring_buffer import Ring
 
 FIRST_READ = 2048  # bytes asked for at a time, more where more comes
 SHARE = 16  # reads after which the others get their turn, however much is still there
--- a/myrtlecrank/edge/front.py
+++ b/myrtlecrank/edge/server.py
@@ -11,13 +11,13 @@
 from loguru import logger
 
 from myrtlecrank.core.actor import Core, now_ms
-from myrtlecrank.core.ends import End
-from myrtlecrank.core.letters import CallersLeft, Ticket
+from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.messages import CallersLeft, Ticket
+from myrtlecrank.edge.accept_rate import Accepting, Pace
 from myrtlecrank.edge.caller import Caller
 from myrtlecrank.edge.connection import Connection
-from myrtlecrank.edge.pace import Accepting, Pace
 from myrtlecrank.frames import codec
-from myrtlecrank.port import Kind
+from myrtlecrank.policy.interface import Kind
 
 BACKLOG = 512
 SPARE_SOCKETS = 24  # left for the agent, the list, files of the interpreter: some ten are used
--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -14,24 +14,24 @@
 from gevent.event import AsyncResult
 from loguru import logger
 
-from myrtlecrank.core.board import Board
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.fleet.bounds import Bounds, address, taken_over, waiting
-from myrtlecrank.fleet.decide import Fleet, Plan
-from myrtlecrank.fleet.effects import Receiver
-from myrtlecrank.fleet.links import Links
-from myrtlecrank.fleet.members.decide import Pace
-from myrtlecrank.fleet.members.words import Rumour, State
-from myrtlecrank.fleet.owner.decide import Terms, member_of
+from myrtlecrank.core.published_state import Board
+from myrtlecrank.fleet.member import Fleet, Plan
+from myrtlecrank.fleet.membership.messages import Rumour, State
+from myrtlecrank.fleet.membership.swim import Pace
+from myrtlecrank.fleet.messages import Message, Report, Reseat, Row, StepDown, Tell
+from myrtlecrank.fleet.monitor.messages import Gauges
+from myrtlecrank.fleet.options import Bounds, address, taken_over, waiting
+from myrtlecrank.fleet.ownership.lease import Terms, member_of
+from myrtlecrank.fleet.peer_links import Links
 from myrtlecrank.fleet.register.calls import Letter as VoterLetter
 from myrtlecrank.fleet.register.calls import replies
-from myrtlecrank.fleet.register.decide import Voter
+from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import Disk, TornError, encode
-from myrtlecrank.fleet.register.reseat import Reseated
-from myrtlecrank.fleet.register.words import Memory, Seated
-from myrtlecrank.fleet.steps import Effect, Work
-from myrtlecrank.fleet.watch.words import Gauges
-from myrtlecrank.fleet.words import Message, Report, Reseat, Row, StepDown, Tell
+from myrtlecrank.fleet.register.messages import Memory, Seated
+from myrtlecrank.fleet.register.reconfiguration import Reseated
+from myrtlecrank.fleet.step_client import Receiver
+from myrtlecrank.fleet.step_scheduler import Effect, Work
 
 MAILBOX = 4096
 REJOIN_MS = 500.0
--- a/myrtlecrank/fleet/command.py
+++ b/myrtlecrank/fleet/command.py
@@ -12,12 +12,12 @@
 import msgspec
 from gevent import socket
 
-from myrtlecrank.fleet.bounds import Bounds, address
-from myrtlecrank.fleet.links import OPERATOR, Reader, RefusedError, packed
-from myrtlecrank.fleet.owner.decide import opened
+from myrtlecrank.fleet.messages import VERSION, Hello, Message, Report, Reseat, Row, StepDown, Tell
+from myrtlecrank.fleet.options import Bounds, address
+from myrtlecrank.fleet.ownership.lease import opened
+from myrtlecrank.fleet.peer_links import OPERATOR, Reader, RefusedError, packed
 from myrtlecrank.fleet.register.disk import Disk, TornError
-from myrtlecrank.fleet.register.words import Memory
-from myrtlecrank.fleet.words import VERSION, Hello, Message, Report, Reseat, Row, StepDown, Tell
+from myrtlecrank.fleet.register.messages import Memory
 
 WAIT_S = 3.0
 RESEAT_S = 25.0  # the member gives up its own wait before
--- a/myrtlecrank/fleet/decide.py
+++ b/myrtlecrank/fleet/member.py
@@ -8,19 +8,19 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from myrtlecrank.fleet.members.decide import Members, Pace
-from myrtlecrank.fleet.members.words import Ack, Ping, PingFor, Rumour, Swap
-from myrtlecrank.fleet.owner.decide import Duty, Look, Put, Terms, member_of, rebalance
+from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Rumour, Swap
+from myrtlecrank.fleet.membership.swim import Members, Pace
+from myrtlecrank.fleet.messages import Message, Offered, Row, Voted
+from myrtlecrank.fleet.monitor.messages import Gauges, Told, Watched
+from myrtlecrank.fleet.monitor.monitor import DUTY as WATCH
+from myrtlecrank.fleet.monitor.monitor import Watch
+from myrtlecrank.fleet.ownership.lease import Duty, Look, Put, Terms, member_of, rebalance
 from myrtlecrank.fleet.register.calls import Calls
-from myrtlecrank.fleet.register.decide import Proposer
-from myrtlecrank.fleet.register.reseat import Reseated, reseat
-from myrtlecrank.fleet.register.roster import Roster, guessed
-from myrtlecrank.fleet.register.words import Outcome, Result, Seated
-from myrtlecrank.fleet.steps import Effect, Steps, Work
-from myrtlecrank.fleet.watch.decide import DUTY as WATCH
-from myrtlecrank.fleet.watch.decide import Watch
-from myrtlecrank.fleet.watch.words import Gauges, Told, Watched
-from myrtlecrank.fleet.words import Message, Offered, Row, Voted
+from myrtlecrank.fleet.register.caspaxos import Proposer
+from myrtlecrank.fleet.register.messages import Outcome, Result, Seated
+from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
+from myrtlecrank.fleet.register.voter_set import Roster, guessed
+from myrtlecrank.fleet.step_scheduler import Effect, Steps, Work
 
 
 @dataclass(frozen=True, slots=True)
--- a/myrtlecrank/fleet/members/decide.py
+++ b/myrtlecrank/fleet/membership/swim.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from myrtlecrank.fleet.members.words import Ack, Ping, PingFor, Rumour, State, Swap, Word
+from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Rumour, State, Swap, Word
 
 MOST_RUMOURS = 12  # in one message, so that its size is bounded
 WORST_HEALTH = 8  # factor by which an ill process stretches its probes, less one
--- a/myrtlecrank/fleet/words.py
+++ b/myrtlecrank/fleet/messages.py
@@ -4,9 +4,9 @@
 
 from msgspec import Struct
 
-from myrtlecrank.fleet.members.words import Ack, Ping, PingFor, Swap
-from myrtlecrank.fleet.register.words import Ask, Known, Rejoin, Seated, Vote
-from myrtlecrank.fleet.watch.words import Told, Watched
+from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Swap
+from myrtlecrank.fleet.monitor.messages import Told, Watched
+from myrtlecrank.fleet.register.messages import Ask, Known, Rejoin, Seated, Vote
 
 VERSION = 2  # of all of this; a peer of another one is refused
 
--- a/myrtlecrank/fleet/watch/decide.py
+++ b/myrtlecrank/fleet/monitor/monitor.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from myrtlecrank.fleet.owner.decide import Fence
-from myrtlecrank.fleet.watch.words import Gauges, Seen, Told, Watched
+from myrtlecrank.fleet.monitor.messages import Gauges, Seen, Told, Watched
+from myrtlecrank.fleet.ownership.lease import Fence
 
 DUTY = "fleet/watch"  # no duty of the operators has a slash in its name
 MOST = 1000  # members in one view
--- a/myrtlecrank/fleet/owner/decide.py
+++ b/myrtlecrank/fleet/ownership/lease.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from myrtlecrank.fleet.register.words import NOTHING, Outcome, Record, Result
+from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
 
 
 class Lease(Struct, frozen=True):
--- a/myrtlecrank/fleet/links.py
+++ b/myrtlecrank/fleet/peer_links.py
@@ -16,7 +16,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from myrtlecrank.fleet.words import VERSION, Hello, Message
+from myrtlecrank.fleet.messages import VERSION, Hello, Message
 
 LENGTH = struct.Struct("<I")
 LONGEST = 8 * 1024 * 1024  # bytes of one message: a voter's whole memory fits
--- a/myrtlecrank/fleet/register/calls.py
+++ b/myrtlecrank/fleet/register/calls.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from myrtlecrank.fleet.register.decide import Pause, Round, Voter
-from myrtlecrank.fleet.register.roster import GUESS
-from myrtlecrank.fleet.register.words import Known, Rejoin, Seated, Vote
-from myrtlecrank.fleet.words import Asked, Message, Voted
+from myrtlecrank.fleet.messages import Asked, Message, Voted
+from myrtlecrank.fleet.register.caspaxos import Pause, Round, Voter
+from myrtlecrank.fleet.register.messages import Known, Rejoin, Seated, Vote
+from myrtlecrank.fleet.register.voter_set import GUESS
 
 T = TypeVar("T")
 Letter = Asked | Rejoin | Known | Seated  # what a voter is sent
--- a/myrtlecrank/fleet/register/decide.py
+++ b/myrtlecrank/fleet/register/caspaxos.py
@@ -11,8 +11,7 @@
 from collections.abc import Callable, Generator, Iterable
 from dataclasses import dataclass
 
-from myrtlecrank.fleet.register.roster import Roster, guessed
-from myrtlecrank.fleet.register.words import (
+from myrtlecrank.fleet.register.messages import (
     NOTHING,
     Accept,
     Ask,
@@ -32,6 +31,7 @@
     Vote,
     sized,
 )
+from myrtlecrank.fleet.register.voter_set import Roster, guessed
 
 MOST_KEYS = 1024  # of one register: what a voter writes at a change grows with them
 BOOTS_A_ROSTER = 1 << 20  # more than a voter can lose its memory under one roster
--- a/myrtlecrank/fleet/register/disk.py
+++ b/myrtlecrank/fleet/register/disk.py
@@ -14,8 +14,8 @@
 import xxhash
 from msgspec import Struct
 
-from myrtlecrank.fleet.register.roster import founding
-from myrtlecrank.fleet.register.words import Memory, Slot
+from myrtlecrank.fleet.register.messages import Memory, Slot
+from myrtlecrank.fleet.register.voter_set import founding
 
 MAGIC, VERSION, BEFORE = b"MCVT", 2, 1
 HEADER = struct.Struct("<4sHQ16s")  # magic, version, length of what follows, its xxh3-128
--- a/myrtlecrank/fleet/register/words.py
+++ b/myrtlecrank/fleet/register/messages.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from myrtlecrank.fleet.register.roster import GUESS, Roster
+from myrtlecrank.fleet.register.voter_set import GUESS, Roster
 
 
 class Ballot(Struct, frozen=True, order=True, omit_defaults=True):
--- a/myrtlecrank/fleet/register/reseat.py
+++ b/myrtlecrank/fleet/register/reconfiguration.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from myrtlecrank.fleet.register.decide import Pause, Proposer, Round
-from myrtlecrank.fleet.register.roster import Roster
-from myrtlecrank.fleet.register.words import VOTERS, Enlist, Keys, Record, Result, Vote
+from myrtlecrank.fleet.register.caspaxos import Pause, Proposer, Round
+from myrtlecrank.fleet.register.messages import VOTERS, Enlist, Keys, Record, Result, Vote
+from myrtlecrank.fleet.register.voter_set import Roster
 
 TRIES = 8
 AWAY = "the register does not answer: no majority of its voters is there"
--- a/myrtlecrank/fleet/register/sqlite.py
+++ b/myrtlecrank/fleet/register/sqlite.py
@@ -6,7 +6,7 @@
 import contextlib
 import sqlite3
 
-from myrtlecrank.fleet.register.words import NOTHING, Outcome, Record, Result, sized
+from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result, sized
 
 TABLE = (
     "CREATE TABLE IF NOT EXISTS records (key TEXT PRIMARY KEY, version INTEGER NOT NULL,"
--- a/myrtlecrank/fleet/effects.py
+++ b/myrtlecrank/fleet/step_client.py
@@ -8,7 +8,7 @@
 import orjson
 from gevent import socket
 
-from myrtlecrank.fleet.steps import Effect
+from myrtlecrank.fleet.step_scheduler import Effect
 
 LONGEST = 4096  # bytes of an answer
 
--- a/myrtlecrank/fleet/steps.py
+++ b/myrtlecrank/fleet/step_scheduler.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from myrtlecrank.fleet.owner.decide import Duty
+from myrtlecrank.fleet.ownership.lease import Duty
 
 
 @dataclass(frozen=True, slots=True)
--- a/myrtlecrank/frames/codec.py
+++ b/myrtlecrank/frames/codec.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from myrtlecrank.frames.ring import Ring
+from myrtlecrank.frames.ring_buffer import Ring
 
 HEAD = struct.Struct("<IBI")
 SHORTEST, LONGEST = 5, 262_144
--- a/myrtlecrank/roll/actor.py
+++ b/myrtlecrank/membership_list/client.py
@@ -9,9 +9,9 @@
 from gevent import socket
 from loguru import logger
 
-from myrtlecrank.core.ends import End, of_error
+from myrtlecrank.core.connection_errors import End, of_error
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.frames.ring import Ring
+from myrtlecrank.frames.ring_buffer import Ring
 
 EVERY_MS, AGAIN_MS = 800.0, 200.0  # an entry lapses 3 s after its last report
 CALL_S = 1.0
--- /dev/null
+++ b/myrtlecrank/policy/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions of admission, order and denial: free of I/O and clocks."""
--- a/myrtlecrank/logic.py
+++ b/myrtlecrank/policy/controller.py
@@ -1,6 +1,6 @@
 """All decisions of a backend. The host builds a Controller from StartFacts, calls it for every event with the
 time now (ms), and calls settle() once after the events of one moment. Operations go out through `do`.
-The interface, with every type named here, is myrtlecrank/port.py; docs/design.md explains the decisions."""
+The interface, with every type named here, is policy/interface.py; docs/design.md explains the decisions."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from math import exp, log
 from typing import Any
 
-from myrtlecrank import port
-from myrtlecrank.port import Below, Exchange, Halting, Kind, Meaning, Outcome
+from myrtlecrank.policy import interface
+from myrtlecrank.policy.interface import Below, Exchange, Halting, Kind, Meaning, Outcome
 
 BEAT = 100.0  # between samples
 CPU_SPAN = 20  # samples in the rolling CPU gauge (2 s)
@@ -56,7 +56,7 @@
     ENDED = 6  # its run was stopped by none of ours, while it stood at a call
 
 
-AWAITED = (port.Start, port.Call, port.Skip, port.Join)
+AWAITED = (interface.Start, interface.Call, interface.Skip, interface.Join)
 PROVEN_UNRUN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
 Steps = Generator[Any, Any, Any]
 
@@ -64,7 +64,7 @@
 class Group:
     """An endpoint group: its line of held exchanges and what was learned of its work."""
 
-    def __init__(self, facts: port.EndpointGroup) -> None:
+    def __init__(self, facts: interface.EndpointGroup) -> None:
         self.kind, self.calls, self.benefit_without = facts.kind, facts.calls, facts.benefit_without
         self.slo, self.timeout, self.stretch = facts.slo, facts.timeout, facts.slo_stretch
         self.benefit, self.late_benefit, self.window = facts.benefit, facts.late_benefit, facts.window
@@ -116,7 +116,7 @@
 
 
 class Controller:
-    def __init__(self, facts: port.StartFacts, do: port.Do, now: float) -> None:
+    def __init__(self, facts: interface.StartFacts, do: interface.Do, now: float) -> None:
         self.do, self.now = do, now
         self.chance = random.Random(facts.seed).random
         self.groups = [Group(g) for g in facts.groups]
@@ -165,8 +165,8 @@
         least = {Meaning.CREDIT: LEAST_CREDIT, Meaning.WEIGHT: LEAST_WEIGHT}
         self.open_at_least = least.get(self.meaning, 0.05)
         self.idle = self.idle_most = facts.idle
-        self.do(port.Health(True, True))
-        self.do(port.Alarm("beat", BEAT))
+        self.do(interface.Health(True, True))
+        self.do(interface.Alarm("beat", BEAT))
         self._publish()
 
     # The path of an exchange
@@ -182,20 +182,20 @@
         word = yield Pause.HOLD
         if word is not Word.TURN:
             if c.group.kind is Kind.DEDUPLICATED:
-                yield port.Erase(c.ex)
+                yield interface.Erase(c.ex)
             return (yield self._denial(c))
         if c.repeatable and self.share_for > 0 and c.ex.keyed:
             yield self._kept(c, self.share_for + 2.0 * c.group.usual)
-        word = yield port.Start(c.ex)
+        word = yield interface.Start(c.ex)
         while word is Word.AT_CALL:
             word = yield from self._call_below(c)
         if isinstance(word, Outcome) and word is not Outcome.CANCELLED:
             return  # its end was its answer
         # Given up under pressure, a second try elsewhere is mostly lost as well; on calm backends it may do.
         pressed = word is Word.CUT or self._cpu() > DURESS_CPU
-        yield self._denial(c) if c.repeatable and pressed else port.Fail(c.ex)
+        yield self._denial(c) if c.repeatable and pressed else interface.Fail(c.ex)
         if self.can_halt and c.place in (Place.RUNNING, Place.CALLING):
-            yield port.Halt(c.ex)
+            yield interface.Halt(c.ex)
 
     def _call_below(self, c: Course) -> Generator[Any, Any, Any]:
         """A call with the time left as its time-out; repeated only where the last one can do no harm."""
@@ -203,7 +203,7 @@
             word = yield Pause.CALL_ROOM
             if word is not Word.TURN:
                 return word
-            word = yield port.Call(c.ex, max(1.0, c.due - self.margin - self.now))
+            word = yield interface.Call(c.ex, max(1.0, c.due - self.margin - self.now))
             if word is Outcome.OK:
                 return (yield Pause.END)
             if not isinstance(word, Outcome):
@@ -211,14 +211,14 @@
             if not (c.repeatable or word in PROVEN_UNRUN):
                 break
         if c.group.benefit_without > 0:
-            return (yield port.Skip(c.ex))
+            return (yield interface.Skip(c.ex))
         return Word.LATE
 
     def _joined(self, c: Course) -> Steps:
         """A repeat takes the outcome of what it repeats: no second effect, and a read costs a twentieth."""
-        word = yield port.Join(c.ex)
+        word = yield interface.Join(c.ex)
         if not isinstance(word, Outcome):
-            yield port.Fail(c.ex)  # never a denial: what it repeats may have run
+            yield interface.Fail(c.ex)  # never a denial: what it repeats may have run
 
     def _step(self, c: Course, word: object) -> None:
         """Resumes an exchange and carries out what it asks for, up to what it must wait for."""
@@ -241,27 +241,27 @@
             if isinstance(want, AWAITED):
                 return
 
-    def _account(self, c: Course, want: port.Operation) -> None:
-        if isinstance(want, port.Deny | port.Fail):
+    def _account(self, c: Course, want: interface.Operation) -> None:
+        if isinstance(want, interface.Deny | interface.Fail):
             c.answered = True
             if c.place in (Place.HELD, Place.JOINED):
                 self._over(c)
-        elif isinstance(want, port.Erase):
+        elif isinstance(want, interface.Erase):
             self._unkept(c)
-        elif isinstance(want, port.Start):
+        elif isinstance(want, interface.Start):
             c.place, c.began = Place.RUNNING, self.now
             self.running[c] = None
             self.starts += 1
             self._weigh(c, c.ex.kb * self.run_weight)
             self._wake(c, c.due - self.margin)
-        elif isinstance(want, port.Join):
+        elif isinstance(want, interface.Join):
             c.place = Place.JOINED
             self.joined[c] = None
             self._wake(c, c.due - self.margin)
-        elif isinstance(want, port.Call):
+        elif isinstance(want, interface.Call):
             c.place = Place.CALLING
             self._count_calls(1)
-        elif isinstance(want, port.Skip):
+        elif isinstance(want, interface.Skip):
             c.place = Place.RUNNING
 
     def _leave_call(self, c: Course) -> None:
@@ -282,11 +282,11 @@
         self.used_kb += kb - c.kb
         c.kb = kb
 
-    def _kept(self, c: Course, span: float) -> port.Retain:
+    def _kept(self, c: Course, span: float) -> interface.Retain:
         self.used_kb += self.key_kb
         c.key_until = self.now + span
         self._push(c.key_until, self.key_kb)
-        return port.Retain(c.ex, span)
+        return interface.Retain(c.ex, span)
 
     def _unkept(self, c: Course) -> None:
         """What never ran has no key: its room is free at once, and is not given back again in its time."""
@@ -295,15 +295,15 @@
             self._push(c.key_until, -self.key_kb)
             c.key_until = 0.0
 
-    def _denial(self, c: Course) -> port.Deny:
+    def _denial(self, c: Course) -> interface.Deny:
         """What callers should do instead of asking at once again. The hold bridges passing noise: where it
         is full, others likely are too, and a walk from one to the next costs each a reading. So nothing
         elsewhere, unless this one is sick. The wait is spread, lest all who heard come back at once."""
         if self.until < NEVER:
-            return port.Deny(c.ex, False, self.wait_limit)
+            return interface.Deny(c.ex, False, self.wait_limit)
         alone = self.sick_until > 0.0  # others are likely to be better off
         wait = self.wait_limit if alone else self.chance() * min(self.wait_spread, self._wait() + self.unread)
-        return port.Deny(c.ex, not alone, wait)
+        return interface.Deny(c.ex, not alone, wait)
 
     # Arrivals: admission on the rolling gauges
 
@@ -522,7 +522,7 @@
             self._resume(c, Word.LATE)
             self._over(c)
         elif c.repeatable and self.can_halt and c.place is Place.RUNNING:
-            self.do(port.Halt(ex))
+            self.do(interface.Halt(ex))
 
     # Due times, samples, publishing
 
@@ -558,12 +558,12 @@
         the notice late, and those that could be served here would find the others full."""
         self.now, self.stop_at = now, now + left
         self.until = min(now + self.grace - self.margin, self.stop_at - 2.0 * self.margin)
-        self.do(port.Health(False, True))
+        self.do(interface.Health(False, True))
         return self.until
 
-    def alarm(self, name: str, gauges: port.Gauges, now: float) -> None:
+    def alarm(self, name: str, gauges: interface.Gauges, now: float) -> None:
         self.now = now
-        self.do(port.Alarm("beat", BEAT))
+        self.do(interface.Alarm("beat", BEAT))
         self.beats += 1
         busy = len(self.running) / self.cores if gauges.cpu is None else gauges.cpu
         self.cpu_samples.append(min(1.0, busy))
@@ -585,7 +585,7 @@
             idle = min(self.idle_most, max(BEAT, self.idle * (0.7 if crowded else 1.1)))
             if idle != self.idle:
                 self.idle = idle
-                self.do(port.IdleLimit(idle))
+                self.do(interface.IdleLimit(idle))
 
     def _learn_limit(self) -> None:
         """As many as fill the cores; waits for disk and calls make room for more. How full they should be is
@@ -626,15 +626,15 @@
         if self.sick_until <= 0.0 and (slow or self.useless or (self.clogged and self.sick_ms > SICK_MS)):
             self.sick_until, self.sick_ms = self.now + self.sick_ms, min(4.0 * SICK_MS, 2.0 * self.sick_ms)
             self.slowness, self.ends = max(self.slowness, SLOW), 0
-            self.do(port.Health(False, True))
-            self.do(port.Log("runs hardly end or none starts: bad health for a while"))
+            self.do(interface.Health(False, True))
+            self.do(interface.Log("runs hardly end or none starts: bad health for a while"))
         elif self.sick_until > 0.0 and not self.clogged and not hung:
             well = self.owed < 1.0 and self.ends > SICK
             if well or self.now > self.sick_until:
                 self.sick_ms = SICK_MS if well else self.sick_ms
                 self.sick_until, self.owed = 0.0, min(self.owed, 0.5 * SICK)
                 self.reading = NEVER  # while the work hung, reading took no time at all
-                self.do(port.Health(self.until == NEVER, True))
+                self.do(interface.Health(self.until == NEVER, True))
 
     def _duress(self, busy: float) -> None:
         """The source's search backpressure: after three pressed samples the highest score goes."""
@@ -677,4 +677,4 @@
             value = 1.0 - value
         if abs(value - self.said) > 0.04 * self.said:
             self.said = value
-            self.do(port.Publish(round(value, 4)))
+            self.do(interface.Publish(round(value, 4)))
--- a/myrtlecrank/repeats/decide.py
+++ b/myrtlecrank/retries/estimator.py
@@ -6,10 +6,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from myrtlecrank.repeats.bounds import Bounds
-from myrtlecrank.repeats.callers import STEP_MS, Heeding
-from myrtlecrank.repeats.given import GivenUp
-from myrtlecrank.repeats.patience import Patience
+from myrtlecrank.retries.abandoned import GivenUp
+from myrtlecrank.retries.caller_timeouts import Patience
+from myrtlecrank.retries.noncompliance import STEP_MS, Heeding
+from myrtlecrank.retries.options import Bounds
 
 SHARE_MS = 1000.0  # over which the share is taken
 ALIKE, OFF_PEAK, ALIKE_ON_PEAK, ON_PEAK = 0.95, 0.9, 0.5, 0.05  # likely a repeat, by what is seen
--- a/myrtlecrank/repeats/marks.py
+++ b/myrtlecrank/retries/exchange_marks.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from myrtlecrank.port import Exchange
-from myrtlecrank.repeats.decide import Repeats
+from myrtlecrank.policy.interface import Exchange
+from myrtlecrank.retries.estimator import Repeats
 
 
 def arrived(repeats: Repeats | None, ex: Exchange, body: bytes, wait: float | None, now: float) -> None:
--- a/myrtlecrank/repeats/report.py
+++ b/myrtlecrank/retries/storm_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from myrtlecrank.repeats.decide import Tide
+from myrtlecrank.retries.estimator import Tide
 
 EVERY_MS = 60_000.0
 
--- a/myrtlecrank/serve.py
+++ b/myrtlecrank/serve.py
@@ -11,14 +11,14 @@
 from loguru import logger
 
 from myrtlecrank import log
-from myrtlecrank.below.link import BelowLink
+from myrtlecrank.agent.client import Link
+from myrtlecrank.configuration import Orders, OrdersError
 from myrtlecrank.core.actor import Core, now_ms
-from myrtlecrank.core.letters import Adopt, Leave
-from myrtlecrank.edge.front import Front
-from myrtlecrank.farm.link import Link
+from myrtlecrank.core.messages import Adopt, Leave
+from myrtlecrank.dependency.client import BelowLink
+from myrtlecrank.edge.server import Front
+from myrtlecrank.membership_list.client import Roll
 from myrtlecrank.operators.file import OperatorsError
-from myrtlecrank.orders import Orders, OrdersError
-from myrtlecrank.roll.actor import Roll
 from myrtlecrank.signals import SIGNALS
 from myrtlecrank.subsystems import SECTIONS, Operators
 
--- a/myrtlecrank/startfacts.py
+++ b/myrtlecrank/settings.py
@@ -5,20 +5,20 @@
 
 from typing import Any
 
-from myrtlecrank import port
+from myrtlecrank.policy import interface
 
 KINDS = {
-    "read_like": port.Kind.REPEATABLE,
-    "idempotency_key": port.Kind.DEDUPLICATED,
-    "non_idempotent": port.Kind.MUTATING,
+    "read_like": interface.Kind.REPEATABLE,
+    "idempotency_key": interface.Kind.DEDUPLICATED,
+    "non_idempotent": interface.Kind.MUTATING,
 }
-HALTING = {"silent": port.Halting.NONE, "drop": port.Halting.DROP, "pause": port.Halting.PAUSE}
-BELOW = {"silent": port.Below.NONE, "common": port.Below.SHARED, "next_hop": port.Below.TIER}
+HALTING = {"silent": interface.Halting.NONE, "drop": interface.Halting.DROP, "pause": interface.Halting.PAUSE}
+BELOW = {"silent": interface.Below.NONE, "common": interface.Below.SHARED, "next_hop": interface.Below.TIER}
 MEANINGS = {
-    "silent": port.Meaning.NONE,
-    "min_rank": port.Meaning.LEVEL,
-    "tokens": port.Meaning.CREDIT,
-    "bias": port.Meaning.WEIGHT,
+    "silent": interface.Meaning.NONE,
+    "min_rank": interface.Meaning.LEVEL,
+    "tokens": interface.Meaning.CREDIT,
+    "bias": interface.Meaning.WEIGHT,
 }
 GAUGES = {"core_use": "cpu", "on_cores": "on_cores", "heap_share": "memory", "links": "connections"}
 
@@ -77,8 +77,8 @@
             raise FieldError(f"{self.where}: the field {key!r} has no known value: {value!r}") from None
 
 
-def _group(fields: Fields, calls: bool, benefit_without: float) -> port.EndpointGroup:
-    return port.EndpointGroup(
+def _group(fields: Fields, calls: bool, benefit_without: float) -> interface.EndpointGroup:
+    return interface.EndpointGroup(
         name=fields.text("name", ""),
         kind=fields.choice("effect", KINDS),
         slo=fields.ms("aim"),
@@ -92,7 +92,7 @@
     )
 
 
-def start_facts(conf: Fields, seed: int) -> port.StartFacts:
+def start_facts(conf: Fields, seed: int) -> interface.StartFacts:
     domain = conf.inner("domain")
     rules = conf.inner("guarantees")
     bounds = conf.inner("bounds", {})
@@ -108,7 +108,7 @@
         for i, row in enumerate(rows)
     ]
     tenants = [Fields(row, f"{conf.where}, tenant {i}") for i, row in enumerate(conf.items("tenants", []))]
-    return port.StartFacts(
+    return interface.StartFacts(
         seed=seed,
         groups=groups,
         cores=domain.integer("cores"),
@@ -126,19 +126,19 @@
         backends=conf.integer("replicasOfMe", 1),
         callers=domain.integer("upstreams", 1),
         tenants=[
-            port.Tenant(row.text("name", ""), row.number("share", 0.0), row.number("allowancePerS", 0.0))
+            interface.Tenant(row.text("name", ""), row.number("share", 0.0), row.number("allowancePerS", 0.0))
             for row in tenants
         ],
         over_share_benefit=conf.number("overShareWorth", 1.0),
         benefit_by_work=conf.text("worthBy", "request") == "work",
-        halting=domain.choice("halt", HALTING, port.Halting.NONE),
-        meaning=domain.choice("signal", MEANINGS, port.Meaning.NONE),
+        halting=domain.choice("halt", HALTING, interface.Halting.NONE),
+        meaning=domain.choice("signal", MEANINGS, interface.Meaning.NONE),
         heeded=domain.ms("heeded", 1_000_000.0),
         wait_limit=bounds.ms("maxRetryAfter", 0.0) if bounds.flag("retryAfter", False) else 0.0,
         tells_left=domain.flag("passesDeadline", True),
         tells_retry=conf.inner("clients", {}).flag("marksRetry", False),
         tells_gone=domain.flag("hangupSeen", False),
-        below=domain.choice("downstream", BELOW, port.Below.NONE),
+        below=domain.choice("downstream", BELOW, interface.Below.NONE),
         calls_share=domain.number("depShare", 0.0),
         calls_over=domain.ms("depWindow", 0.0),
         call_lingers=domain.ms("staysFor", 0.0),
@@ -149,5 +149,5 @@
 
 
 def gauge_names(conf: Fields) -> list[str]:
-    """Which gauge stands at each place of a sample, in the names of port.Gauges; "" for one unknown."""
+    """Which gauge stands at each place of a sample, in the names of interface.Gauges; "" for one unknown."""
     return [GAUGES.get(name, "") for name in conf.inner("domain").items("gauges", list(GAUGES))]
--- a/myrtlecrank/benchlink/__main__.py
+++ b/myrtlecrank/simulator_adapter/__main__.py
@@ -4,9 +4,9 @@
 import traceback
 
 from myrtlecrank import subsystems
-from myrtlecrank.benchlink.host import Panic, serve
-from myrtlecrank.benchlink.wire import WireError
 from myrtlecrank.operators.file import OperatorsError
+from myrtlecrank.simulator_adapter.host import Panic, serve
+from myrtlecrank.simulator_adapter.protocol import WireError
 
 
 def main() -> int:
--- a/myrtlecrank/benchlink/host.py
+++ b/myrtlecrank/simulator_adapter/host.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Iterable
 from typing import Any, BinaryIO
 
-from myrtlecrank import port
-from myrtlecrank.benchlink import wire
-from myrtlecrank.logic import Controller
-from myrtlecrank.repeats import marks
-from myrtlecrank.repeats.bounds import Bounds
-from myrtlecrank.repeats.decide import Repeats
-from myrtlecrank.startfacts import Fields, start_facts
+from myrtlecrank.policy import interface
+from myrtlecrank.policy.controller import Controller
+from myrtlecrank.retries import exchange_marks
+from myrtlecrank.retries.estimator import Repeats
+from myrtlecrank.retries.options import Bounds
+from myrtlecrank.settings import Fields, start_facts
+from myrtlecrank.simulator_adapter import protocol
 
 
 class Instance:
@@ -25,8 +25,8 @@
         self.groups, self.tenants = len(facts.groups), len(facts.tenants)
         longest = max((g.timeout + g.window for g in facts.groups), default=0.0)
         self.remembered_for = 2.0 * longest + facts.share_for
-        self.exchanges: dict[int, port.Exchange] = {}
-        self.ids: dict[port.Exchange, int] = {}
+        self.exchanges: dict[int, interface.Exchange] = {}
+        self.ids: dict[interface.Exchange, int] = {}
         self.ages: deque[tuple[float, int]] = deque()
         self.replies: list[bytes] = []
         self.now = now
@@ -37,13 +37,13 @@
             self.repeats = Repeats([g.timeout for g in facts.groups], facts.seed, bounds, now)
         self.controller = Controller(facts, self.do, now)
 
-    def do(self, op: port.Operation) -> None:
-        if isinstance(op, port.Publish):
+    def do(self, op: interface.Operation) -> None:
+        if isinstance(op, interface.Publish):
             self.credit = op.value
-        elif isinstance(op, port.Deny | port.Fail):
-            wait = op.wait if isinstance(op, port.Deny) else 0.0
-            marks.answered(self.repeats, op.ex, b"", True, wait, self.credit, self.now)
-        self.replies.append(wire.action(op, self.number, self.ids.__getitem__))
+        elif isinstance(op, interface.Deny | interface.Fail):
+            wait = op.wait if isinstance(op, interface.Deny) else 0.0
+            exchange_marks.answered(self.repeats, op.ex, b"", True, wait, self.credit, self.now)
+        self.replies.append(protocol.action(op, self.number, self.ids.__getitem__))
 
     def forget_old(self, now: float) -> None:
         while self.ages and self.ages[0][0] < now - self.remembered_for:
@@ -51,15 +51,15 @@
             if ex is not None:
                 del self.ids[ex]
 
-    def arrival(self, event: Fields, now: float) -> port.Exchange:
-        ex = wire.exchange(event, self.tells_left, self.groups, self.tenants)
+    def arrival(self, event: Fields, now: float) -> interface.Exchange:
+        ex = protocol.exchange(event, self.tells_left, self.groups, self.tenants)
         ident = event.integer("call")
         named = event.integer("earlier", 0)
         if named:
             # A repeat stays one even if what it repeats is no longer in the table.
-            ex.earlier = self.exchanges.get(named) or port.Exchange(ex.group, None, 0.0, 0.0)
+            ex.earlier = self.exchanges.get(named) or interface.Exchange(ex.group, None, 0.0, 0.0)
         wait = None if ex.left is None else ex.left + ex.waited
-        marks.arrived(self.repeats, ex, b"", wait, now)
+        exchange_marks.arrived(self.repeats, ex, b"", wait, now)
         self.exchanges[ident] = ex
         self.ids[ex] = ident
         self.ages.append((now, ident))
@@ -72,17 +72,17 @@
         if name == "inbound":
             self.controller.arrived(self.arrival(event, now), now)
         elif name == "result":
-            end, took = wire.outcome(event), event.ms("costTime", 0.0)
+            end, took = protocol.outcome(event), event.ms("costTime", 0.0)
             if known:
-                if end in (port.Outcome.OK, port.Outcome.ERROR):
-                    failed = end is port.Outcome.ERROR
-                    marks.answered(self.repeats, known, b"", failed, 0.0, self.credit, now)
+                if end in (interface.Outcome.OK, interface.Outcome.ERROR):
+                    failed = end is interface.Outcome.ERROR
+                    exchange_marks.answered(self.repeats, known, b"", failed, 0.0, self.credit, now)
                 self.controller.finished(known, end, took, now)
         elif name == "atCall":
             if known:
                 self.controller.at_call(known, now)
         elif name == "cameBack":
-            end, took = wire.outcome(event), event.ms("costTime", 0.0)
+            end, took = protocol.outcome(event), event.ms("costTime", 0.0)
             if known:
                 self.controller.call_ended(known, end, took, now)
         elif name == "expired":
@@ -93,7 +93,7 @@
         elif name == "terminateSoon":
             self.controller.leave(event.ms("patienceLeft"), now)
         elif name == "fired":
-            gauges = wire.gauges(event)
+            gauges = protocol.gauges(event)
             gauges.storm = self.repeats is not None and self.repeats.tide(now).storm
             self.controller.alarm(event.text("name"), gauges, now)
 
@@ -114,11 +114,11 @@
         name = event.text("msg")
         if name == "turn":
             if self.now is not None:
-                raise wire.WireError(f"{event.where} begins a batch inside another")
+                raise protocol.WireError(f"{event.where} begins a batch inside another")
             self.now = event.integer("simTime") / 1000.0
             return None
         if self.now is None:
-            raise wire.WireError(f"{event.where} stands outside a batch")
+            raise protocol.WireError(f"{event.where} stands outside a batch")
         if name == "flush":
             return self._reply(self.now)
         number = event.integer("backendId")
@@ -129,11 +129,11 @@
             self.instances.pop(number, None)
             self.touched.pop(number, None)
         elif name not in EVENTS:
-            raise wire.WireError(f"{event.where}: unknown event")
+            raise protocol.WireError(f"{event.where}: unknown event")
         else:
             instance = self.instances.get(number)
             if instance is None:
-                raise wire.WireError(f"{event.where}: backend {number} has not started")
+                raise protocol.WireError(f"{event.where}: backend {number} has not started")
             self.touched[number] = instance
             self._guarded(number, instance.event, event, self.now)
         return None
@@ -141,7 +141,7 @@
     def _guarded(self, number: int, work: Callable[..., Any], *args: Any) -> Any:
         try:
             return work(*args)
-        except wire.WireError:
+        except protocol.WireError:
             raise
         except Exception as error:
             raise Panic(number, error) from error
@@ -164,7 +164,7 @@
 
     def __init__(self, backend: int, cause: Exception) -> None:
         super().__init__(str(cause))
-        self.line = wire.panic(backend, cause)
+        self.line = protocol.panic(backend, cause)
 
 
 def serve(lines: Iterable[bytes], out: BinaryIO, bounds: Bounds | None = None) -> None:
@@ -175,7 +175,7 @@
         if not line.strip():
             continue
         try:
-            reply = host.line(wire.parse(line, number))
+            reply = host.line(protocol.parse(line, number))
         except Panic as panic:
             out.write(panic.line + b'\n{"msg":"next"}\n')
             out.flush()
@@ -184,4 +184,4 @@
             out.write(b"\n".join(reply) + b"\n")
             out.flush()
     if host.now is not None:
-        raise wire.WireError(f"the input ends inside a batch, after line {number}")
+        raise protocol.WireError(f"the input ends inside a batch, after line {number}")
--- a/myrtlecrank/benchlink/wire.py
+++ b/myrtlecrank/simulator_adapter/protocol.py
@@ -6,20 +6,20 @@
 
 import orjson
 
-from myrtlecrank import port
-from myrtlecrank.startfacts import GAUGES, FieldError, Fields
+from myrtlecrank.policy import interface
+from myrtlecrank.settings import GAUGES, FieldError, Fields
 
 WireError = FieldError
 
 OUTCOMES = {
-    10: port.Outcome.OK,
-    20: port.Outcome.ERROR,
-    30: port.Outcome.FULL,
-    40: port.Outcome.TIMEOUT,
-    50: port.Outcome.UNREACHED,
-    60: port.Outcome.RESET,
-    70: port.Outcome.CANCELLED,
-    80: port.Outcome.MOOT,
+    10: interface.Outcome.OK,
+    20: interface.Outcome.ERROR,
+    30: interface.Outcome.FULL,
+    40: interface.Outcome.TIMEOUT,
+    50: interface.Outcome.UNREACHED,
+    60: interface.Outcome.RESET,
+    70: interface.Outcome.CANCELLED,
+    80: interface.Outcome.MOOT,
 }
 
 
@@ -34,7 +34,7 @@
     return fields
 
 
-def exchange(event: Fields, tells_left: bool, groups: int, tenants: int) -> port.Exchange:
+def exchange(event: Fields, tells_left: bool, groups: int, tenants: int) -> interface.Exchange:
     group = event.integer("priority")
     if not 0 <= group < groups:
         raise WireError(f"{event.where}: the field 'priority' names no category: {group}")
@@ -42,7 +42,7 @@
     if tenants and not 0 <= tenant < tenants:
         raise WireError(f"{event.where}: the field 'clientGroup' names no tenant: {tenant}")
     left = event.ms("patienceLeft", 0.0)
-    return port.Exchange(
+    return interface.Exchange(
         group=group,
         left=left if tells_left and left > 0 else None,
         waited=event.ms("backlogTime", 0.0),
@@ -56,13 +56,13 @@
     )
 
 
-def outcome(event: Fields) -> port.Outcome:
-    result: port.Outcome = event.choice("rc", OUTCOMES)
+def outcome(event: Fields) -> interface.Outcome:
+    result: interface.Outcome = event.choice("rc", OUTCOMES)
     return result
 
 
-def gauges(event: Fields) -> port.Gauges:
-    told = port.Gauges()
+def gauges(event: Fields) -> interface.Gauges:
+    told = interface.Gauges()
     for name, value in event.inner("report", {}).values.items():
         if name in GAUGES and isinstance(value, int | float):
             setattr(told, GAUGES[name], float(value))
@@ -73,37 +73,37 @@
     return max(0, round(ms * 1000.0))
 
 
-def action(op: port.Operation, backend: int, ids: Callable[[port.Exchange], int]) -> bytes:
+def action(op: interface.Operation, backend: int, ids: Callable[[interface.Exchange], int]) -> bytes:
     """One reply line for one operation."""
     row: dict[str, object]
     match op:
-        case port.Start(ex):
+        case interface.Start(ex):
             row = {"msg": "take", "call": ids(ex)}
-        case port.Halt(ex):
+        case interface.Halt(ex):
             row = {"msg": "preempt", "call": ids(ex)}
-        case port.Deny(ex, last, wait):
+        case interface.Deny(ex, last, wait):
             row = {"msg": "deny", "call": ids(ex), "terminal": last, "pause": us(wait)}
-        case port.Fail(ex):
+        case interface.Fail(ex):
             row = {"msg": "respondError", "call": ids(ex)}
-        case port.Call(ex, timeout):
+        case interface.Call(ex, timeout):
             row = {"msg": "callDep", "call": ids(ex), "tryFor": us(timeout)}
-        case port.Skip(ex):
+        case interface.Skip(ex):
             row = {"msg": "skip", "call": ids(ex)}
-        case port.Retain(ex, span):
+        case interface.Retain(ex, span):
             row = {"msg": "retain", "call": ids(ex), "span": us(span)}
-        case port.Erase(ex):
+        case interface.Erase(ex):
             row = {"msg": "erase", "call": ids(ex)}
-        case port.Join(ex):
+        case interface.Join(ex):
             row = {"msg": "join", "call": ids(ex)}
-        case port.Health(on, stored):
+        case interface.Health(on, stored):
             row = {"msg": "setHealth", "on": on, "shallow": stored}
-        case port.Publish(value):
+        case interface.Publish(value):
             row = {"msg": "publish", "amount": value}
-        case port.IdleLimit(span):
+        case interface.IdleLimit(span):
             row = {"msg": "idleLimit", "span": us(span)}
-        case port.Alarm(name, delay):
+        case interface.Alarm(name, delay):
             row = {"msg": "setAlarm", "name": name, "offset": us(delay)}
-        case port.Log(text):
+        case interface.Log(text):
             row = {"msg": "remark", "text": text}
     row["backendId"] = backend
     return orjson.dumps(row)
--- a/myrtlecrank/subsystems.py
+++ b/myrtlecrank/subsystems.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass, fields
 from typing import TYPE_CHECKING
 
-from myrtlecrank.edge import pace
+from myrtlecrank.edge import accept_rate
 from myrtlecrank.operators.file import Sections, find
 from myrtlecrank.operators.file import load as load_sections
-from myrtlecrank.repeats import bounds as repeats
+from myrtlecrank.retries import options as repeats
 
 if TYPE_CHECKING:
-    from myrtlecrank.fleet import bounds as fleet
+    from myrtlecrank.fleet import options as fleet
 
 SECTIONS: Sections = {
     "repeats": (repeats.Bounds, repeats.contradictions),
-    "accepting": (pace.Accepting, pace.contradictions),
-    "fleet": "myrtlecrank.fleet.bounds",
+    "accepting": (accept_rate.Accepting, accept_rate.contradictions),
+    "fleet": "myrtlecrank.fleet.options",
 }
 
 
@@ -26,7 +26,7 @@
 
     path: str | None = None
     repeats: repeats.Bounds | None = None
-    accepting: pace.Accepting | None = None
+    accepting: accept_rate.Accepting | None = None
     fleet: fleet.Bounds | None = None
 
     def unlike(self, other: Operators) -> list[str]:
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -106,8 +106,8 @@
 def _play_fleet(
     name: str, seed: int, virtual: bool, bug: str | None, reseats: bool, quick: bool, out: Path | None
 ) -> None:
-    from rig.several import owners
-    from rig.several.bugs import BUGS
+    from rig.multi_node import ownership_experiment
+    from rig.multi_node.planted_faults import BUGS
 
     known = ["fence", *BUGS] if virtual else ["fence", "wall-time"]
     if bug is not None and bug not in known:
@@ -115,12 +115,12 @@
         sys.exit(2)
     try:
         if virtual:
-            scene = owners.Scene(
+            scene = ownership_experiment.Scene(
                 length=30_000.0 if quick else 60_000.0, fence=bug != "fence", reseats=reseats
             )
-            one = owners.play(seed, scene, BUGS.get(bug or ""))
+            one = ownership_experiment.play(seed, scene, BUGS.get(bug or ""))
         else:
-            from rig.sockets.owners import play as play_real
+            from rig.processes.ownership_experiment import play as play_real
 
             one = play_real(
                 seed,
@@ -132,7 +132,7 @@
     except (OSError, gevent.Timeout) as error:
         click.echo(f"could not run: {error}", err=True)
         sys.exit(2)
-    rules = {key: int(one.figures.get(key, 0) > most) for key, most in owners.AIMS.items()}
+    rules = {key: int(one.figures.get(key, 0) > most) for key, most in ownership_experiment.AIMS.items()}
     line: dict[str, Any] = {
         "experiment": name,
         "seed": seed,
@@ -146,7 +146,7 @@
         (out / "result.json").write_text(json.dumps(line | {"script": one.script}, indent=1) + "\n")
         rows = "\n".join(f"| {key} | {value:g} |" for key, value in one.figures.items())
         title = f"# {name}, seed {seed}, {line['where']}"
-        from rig.several.chart import draw
+        from rig.multi_node.chart import draw
 
         draw(one, out, title[2:])
         (out / "table.md").write_text(f"{title}\n\n| figure | value |\n| --- | --- |\n{rows}\n")
--- a/rig/backend.py
+++ b/rig/backend.py
@@ -8,9 +8,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from myrtlecrank import port
 from myrtlecrank.core.actor import Core
-from myrtlecrank.core.letters import (
+from myrtlecrank.core.messages import (
     Answer,
     Arrived,
     Command,
@@ -24,13 +23,14 @@
     Sampled,
     Ticket,
 )
-from myrtlecrank.repeats.bounds import Bounds
+from myrtlecrank.policy import interface
+from myrtlecrank.retries.options import Bounds
+from rig.backend_stand_in import Stand
 from rig.callers import Try, said_of
 from rig.machine import Build, Time
 from rig.rules import Rules
-from rig.stand import Stand
 
-ENDS = {"PASS": port.Outcome.OK, "KILLED": port.Outcome.CANCELLED}
+ENDS = {"PASS": interface.Outcome.OK, "KILLED": interface.Outcome.CANCELLED}
 
 
 class Backend(Stand):
@@ -40,7 +40,7 @@
         self,
         number: int,
         clock: Time,
-        facts: port.StartFacts,
+        facts: interface.StartFacts,
         build: Build,
         rules: Rules,
         cold: bool,
@@ -125,7 +125,7 @@
                 self.clock.after(self.HOP, lambda: self.freeze(ident))
             case Sample(tag):
                 self.clock.after(
-                    self.HOP, lambda: self._post(Sampled(tag, port.Gauges(**self.machine.gauges())))
+                    self.HOP, lambda: self._post(Sampled(tag, interface.Gauges(**self.machine.gauges())))
                 )
 
     def notify(self, ident: str, end: str, took: float) -> None:
--- a/rig/experiments.py
+++ b/rig/experiments.py
@@ -11,7 +11,7 @@
 
 from rig.callers import Habits
 from rig.fleet import Fleet, Scene, figures
-from rig.truth import Truth
+from rig.ground_truth import Truth
 
 Progress = Callable[[float], None]
 CALM = Scene(killed=0.0, deaf=0.0, after_ms=23_000.0)
@@ -117,7 +117,7 @@
     fleet: Fleet
     real = real or EXPERIMENTS[name].real
     if real:
-        from rig.sockets.fleet import RealFleet  # gevent and processes: only where they are wanted
+        from rig.processes.fleet import RealFleet  # gevent and processes: only where they are wanted
 
         fleet = RealFleet(scene, seed)
     else:
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -8,16 +8,16 @@
 from math import log, sqrt
 from typing import Any
 
-from myrtlecrank import port
 from myrtlecrank.core.actor import Core
-from myrtlecrank.edge.pace import Accepting
-from myrtlecrank.repeats.bounds import Bounds
+from myrtlecrank.edge.accept_rate import Accepting
+from myrtlecrank.policy import interface
+from myrtlecrank.retries.options import Bounds
 from rig.backend import Backend
+from rig.backend_stand_in import Stand
 from rig.callers import Caller, Habits, Try, Wish
 from rig.clock import Clock
 from rig.machine import Build
 from rig.rules import Rules
-from rig.stand import Stand
 
 BUILD, HEEDING, DEAF, BOUNDS, ACCEPTING = Build(), Habits(), Habits(deaf=True), Bounds(), Accepting()
 
@@ -81,17 +81,17 @@
         work = sum(g.share * g.work for g in self.groups)
         return self.load * self.backends * self.build.cores * self.build.speed * 1000.0 / work
 
-    def facts(self, seed: int) -> port.StartFacts:
+    def facts(self, seed: int) -> interface.StartFacts:
         groups = [
-            port.EndpointGroup(
-                g.name, port.Kind.REPEATABLE, self.slo, self.timeout, g.benefit, g.late_benefit, 0.0
+            interface.EndpointGroup(
+                g.name, interface.Kind.REPEATABLE, self.slo, self.timeout, g.benefit, g.late_benefit, 0.0
             )
             for g in self.groups
         ]
         each = self.per_second() * 1.2 / max(1, self.tenants)
-        tenants = [port.Tenant(f"tenant-{i}", 1.0 / self.tenants, each) for i in range(self.tenants)]
+        tenants = [interface.Tenant(f"tenant-{i}", 1.0 / self.tenants, each) for i in range(self.tenants)]
         b = self.build
-        return port.StartFacts(
+        return interface.StartFacts(
             seed=seed,
             groups=groups,
             cores=b.cores,
@@ -110,8 +110,8 @@
             callers=self.callers,
             tenants=tenants,
             over_share_benefit=0.05,
-            halting=port.Halting.DROP,
-            meaning=port.Meaning.CREDIT,
+            halting=interface.Halting.DROP,
+            meaning=interface.Meaning.CREDIT,
             heeded=1000.0,
             wait_limit=1000.0,
             idle=30_000.0,
--- a/rig/truth.py
+++ b/rig/ground_truth.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass, field
 
-from myrtlecrank.repeats.decide import SHARE_MS
+from myrtlecrank.retries.estimator import SHARE_MS
 from rig.backend import Backend
 from rig.callers import Try
 from rig.fleet import Fleet
--- a/rig/several/chart.py
+++ b/rig/multi_node/chart.py
@@ -9,7 +9,7 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
 
-from rig.several.owners import Played
+from rig.multi_node.ownership_experiment import Played
 
 GAP_S = 0.6  # longer without a step than this is drawn as a gap
 
--- a/rig/several/judge.py
+++ b/rig/multi_node/checkers.py
@@ -6,7 +6,7 @@
 import itertools
 from dataclasses import dataclass, field
 
-from myrtlecrank.fleet.steps import Effect
+from myrtlecrank.fleet.step_scheduler import Effect
 
 
 @dataclass(frozen=True, slots=True)
--- a/rig/several/member.py
+++ b/rig/multi_node/member.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from myrtlecrank.fleet.decide import Fleet, Plan
-from myrtlecrank.fleet.members.words import Rumour, State
+from myrtlecrank.fleet.member import Fleet, Plan
+from myrtlecrank.fleet.membership.messages import Rumour, State
+from myrtlecrank.fleet.messages import Message
 from myrtlecrank.fleet.register.calls import Letter, replies
-from myrtlecrank.fleet.register.decide import Voter
+from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import decode, encode
-from myrtlecrank.fleet.register.roster import Roster, founding
-from myrtlecrank.fleet.register.words import Known, Memory, Seated
-from myrtlecrank.fleet.steps import Effect
-from myrtlecrank.fleet.words import Message
-from rig.several.world import Host, World
+from myrtlecrank.fleet.register.messages import Known, Memory, Seated
+from myrtlecrank.fleet.register.voter_set import Roster, founding
+from myrtlecrank.fleet.step_scheduler import Effect
+from rig.multi_node.environment import Host, World
 
 PACKED = msgspec.msgpack.Encoder()
 UNPACK = msgspec.msgpack.Decoder(Message)
--- a/rig/several/owners.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -8,15 +8,15 @@
 from itertools import pairwise
 from typing import Any
 
-from myrtlecrank.fleet.decide import Plan
-from myrtlecrank.fleet.members.decide import Pace
-from myrtlecrank.fleet.owner.decide import Terms
-from myrtlecrank.fleet.register.reseat import Reseated
-from myrtlecrank.fleet.register.roster import Roster
-from myrtlecrank.fleet.steps import Effect, Work
-from rig.several.judge import Away, Resource, at_once
-from rig.several.member import Member, newest
-from rig.several.world import World
+from myrtlecrank.fleet.member import Plan
+from myrtlecrank.fleet.membership.swim import Pace
+from myrtlecrank.fleet.ownership.lease import Terms
+from myrtlecrank.fleet.register.reconfiguration import Reseated
+from myrtlecrank.fleet.register.voter_set import Roster
+from myrtlecrank.fleet.step_scheduler import Effect, Work
+from rig.multi_node.checkers import Away, Resource, at_once
+from rig.multi_node.environment import World
+from rig.multi_node.member import Member, newest
 
 DRIFT = 0.01
 STOP_IN_WRITE = 0.003  # share of effects with a stop between the look at the lease and the bytes
--- a/rig/several/walk_owner.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from myrtlecrank.fleet.owner.decide import Duty, Lease, Look, Put, Terms
-from myrtlecrank.fleet.register.words import NOTHING, Outcome, Record, Result
+from myrtlecrank.fleet.ownership.lease import Duty, Lease, Look, Put, Terms
+from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
 
 TERMS = Terms(lease=3.0, wait=4.0, renew=1.0, look=1.0, stagger=0.0, heir=2.0)
 NAMES = ("a/1", "b/1")
--- a/rig/several/bugs.py
+++ b/rig/multi_node/planted_faults.py
@@ -7,13 +7,13 @@
 from functools import partial
 from typing import Any
 
-from myrtlecrank.fleet.owner.decide import Lease, Put
+from myrtlecrank.fleet.ownership.lease import Lease, Put
 from myrtlecrank.fleet.register.disk import encode
-from myrtlecrank.fleet.register.roster import founding
-from myrtlecrank.fleet.register.words import Memory
-from rig.several.member import Member
-from rig.several.owners import Play
-from rig.several.world import Host
+from myrtlecrank.fleet.register.messages import Memory
+from myrtlecrank.fleet.register.voter_set import founding
+from rig.multi_node.environment import Host
+from rig.multi_node.member import Member
+from rig.multi_node.ownership_experiment import Play
 
 
 def swap(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
--- a/rig/several/shuffle.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from myrtlecrank.fleet.register import reseat as reseating
+from myrtlecrank.fleet.messages import Message, Voted
+from myrtlecrank.fleet.register import reconfiguration as reseating
 from myrtlecrank.fleet.register.calls import Calls, replies
-from myrtlecrank.fleet.register.decide import Proposer, Voter
+from myrtlecrank.fleet.register.caspaxos import Proposer, Voter
 from myrtlecrank.fleet.register.disk import decode, encode
-from myrtlecrank.fleet.register.reseat import Reseated
-from myrtlecrank.fleet.register.roster import Roster, founding, guessed
-from myrtlecrank.fleet.register.words import NOTHING, VOTERS, Memory, Outcome, Record, Result
-from myrtlecrank.fleet.words import Message, Voted
-from rig.several.history import Asker, judged
-from rig.several.judge import Op
-from rig.several.member import PACKED, UNPACK, newest
+from myrtlecrank.fleet.register.messages import NOTHING, VOTERS, Memory, Outcome, Record, Result
+from myrtlecrank.fleet.register.reconfiguration import Reseated
+from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
+from rig.multi_node.checkers import Op
+from rig.multi_node.member import PACKED, UNPACK, newest
+from rig.multi_node.register_history import Asker, judged
 
 FOUNDERS, ALL = ("v0", "v1", "v2"), ("v0", "v1", "v2", "v3", "v4")
 OPS = 26
--- a/rig/several/history.py
+++ b/rig/multi_node/register_history.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass
 from typing import Any
 
+from myrtlecrank.fleet.messages import Message, Voted
 from myrtlecrank.fleet.register.calls import Calls, Letter
-from myrtlecrank.fleet.register.decide import Call, Proposer
+from myrtlecrank.fleet.register.caspaxos import Call, Proposer
 from myrtlecrank.fleet.register.disk import encode
-from myrtlecrank.fleet.register.reseat import Reseated, reseat
-from myrtlecrank.fleet.register.roster import Roster, founding, guessed
-from myrtlecrank.fleet.register.words import NOTHING, Memory, Outcome, Record, Result
-from myrtlecrank.fleet.words import Message, Voted
-from rig.several.judge import Op, linearizable
-from rig.several.member import PACKED, UNPACK, Disk, VoterHost, newest
-from rig.several.world import Host, World
+from myrtlecrank.fleet.register.messages import NOTHING, Memory, Outcome, Record, Result
+from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
+from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
+from rig.multi_node.checkers import Op, linearizable
+from rig.multi_node.environment import Host, World
+from rig.multi_node.member import PACKED, UNPACK, Disk, VoterHost, newest
 
 KEY = "key"
 
--- a/rig/several/walk.py
+++ b/rig/multi_node/register_model_check.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from myrtlecrank.fleet.register.decide import Pause, Proposer, Round, Voter
-from myrtlecrank.fleet.register.roster import founding
-from myrtlecrank.fleet.register.words import NOTHING, Accept, Memory, Outcome, Prepare, Result, Slot, Vote
+from myrtlecrank.fleet.register.caspaxos import Pause, Proposer, Round, Voter
+from myrtlecrank.fleet.register.messages import NOTHING, Accept, Memory, Outcome, Prepare, Result, Slot, Vote
+from myrtlecrank.fleet.register.voter_set import founding
 
 NAMES = ("a", "b", "c")
 ROSTER = founding(NAMES)
--- a/rig/sockets/process.py
+++ b/rig/processes/backend_process.py
@@ -16,13 +16,13 @@
 from gevent import socket
 from gevent.queue import Queue
 
-from myrtlecrank import port
+from myrtlecrank.policy import interface
+from rig.backend_stand_in import Stand
 from rig.callers import Said, Try
 from rig.machine import Build
+from rig.processes import caller_protocol
+from rig.processes.real_clock import RealClock
 from rig.rules import Rules
-from rig.sockets import wire
-from rig.sockets.clock import RealClock
-from rig.stand import Stand
 
 ROOT = Path(__file__).parent.parent.parent
 SAID = {0: Said.COMPLETED, 1: Said.DENIED, 2: Said.TERMINATED}
@@ -41,7 +41,7 @@
         return host, int(probe.getsockname()[1])
 
 
-def settings(facts: port.StartFacts) -> dict[str, Any]:
+def settings(facts: interface.StartFacts) -> dict[str, Any]:
     """StartFacts as the platform's configuration would say them; times in microseconds."""
 
     def us(ms: float) -> int:
@@ -103,7 +103,7 @@
     def ask(self, one: Try, fields: dict[str, str]) -> None:
         self.stream += 1
         self.open[self.stream] = one
-        self.queue.put((one, wire.frame(wire.ASK, self.stream, fields, one.wish.body)))
+        self.queue.put((one, caller_protocol.frame(caller_protocol.ASK, self.stream, fields, one.wish.body)))
 
     def _run(self) -> None:
         try:
@@ -125,13 +125,13 @@
         sock.close()
 
     def _read(self, sock: socket.socket) -> None:
-        frames = wire.Reader()
+        frames = caller_protocol.Reader()
         try:
             while data := sock.recv(65536):
                 for kind, stream, code, fields, _ in frames.feed(data):
-                    if kind == wire.AWAY:
+                    if kind == caller_protocol.AWAY:
                         self.shut = True
-                    elif kind == wire.ANSWER:
+                    elif kind == caller_protocol.ANSWER:
                         self._answered(stream, code, fields)
                 if self.shut and not self.open:
                     break
@@ -164,7 +164,7 @@
         self,
         number: int,
         clock: RealClock,
-        facts: port.StartFacts,
+        facts: interface.StartFacts,
         build: Build,
         rules: Rules,
         cold: bool,
--- a/rig/sockets/fleet.py
+++ b/rig/processes/fleet.py
@@ -11,11 +11,11 @@
 import httptools
 from gevent import socket
 
+from rig.backend_stand_in import Stand
 from rig.fleet import Fleet, Scene
-from rig.sockets.clock import RealClock
-from rig.sockets.crowd import Crowd
-from rig.sockets.process import Process, free_address
-from rig.stand import Stand
+from rig.processes.backend_process import Process, free_address
+from rig.processes.real_clock import RealClock
+from rig.processes.reconnect_storm import Crowd
 
 LATE_MS = 25.0  # the rig itself: past that its figures say nothing
 
--- a/rig/sockets/owners.py
+++ b/rig/processes/ownership_experiment.py
@@ -20,11 +20,11 @@
 import orjson
 from gevent import socket
 
-from myrtlecrank.fleet.steps import Effect
-from rig.several.judge import Away, Resource
-from rig.several.owners import AIMS, Played
-from rig.sockets.process import GAUGES, ROOT, free_address
-from rig.sockets.proxy import Proxy
+from myrtlecrank.fleet.step_scheduler import Effect
+from rig.multi_node.checkers import Away, Resource
+from rig.multi_node.ownership_experiment import AIMS, Played
+from rig.processes.backend_process import GAUGES, ROOT, free_address
+from rig.processes.proxy import Proxy
 
 LEASE_MS = 1000.0
 STEP_MS = 100.0
@@ -157,7 +157,7 @@
         if self.process is None:
             serve = self.command("serve", str(self.config))
             bug = ["--wall-leases"] if self.wall_leases else []
-            serve[2:3] = ["rig.sockets.stepped", *bug, str(self.wall)]
+            serve[2:3] = ["rig.processes.stepped_clock", *bug, str(self.wall)]
             self.process = subprocess.Popen(
                 serve, cwd=ROOT, stdout=self.log, stderr=self.log, env={**os.environ, "PYTHONPATH": str(ROOT)}
             )
--- a/rig/sockets/crowd.py
+++ b/rig/processes/reconnect_storm.py
@@ -10,7 +10,7 @@
 from gevent import socket
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from rig.sockets import wire
+from rig.processes import caller_protocol
 
 SAYS_NOTHING, HALF = 0.1, 0.1  # parts of the crowd
 WAIT_S = 4.0
@@ -36,11 +36,11 @@
                 if kind < SAYS_NOTHING:
                     self.ended += sock.recv(1) == b""  # silent ones are ended by the backend
                     return
-                frame = wire.frame(wire.CHECK, 1, {})
+                frame = caller_protocol.frame(caller_protocol.CHECK, 1, {})
                 sock.sendall(frame if whole else frame[:6])
-                reader = wire.Reader()
+                reader = caller_protocol.Reader()
                 while data := sock.recv(4096):
-                    if whole and any(kind == wire.CHECKED for kind, *_ in reader.feed(data)):
+                    if whole and any(kind == caller_protocol.CHECKED for kind, *_ in reader.feed(data)):
                         self._answered(began)
                         return
                 self.ended += not whole
--- a/rig/sockets/stepped.py
+++ b/rig/processes/stepped_clock.py
@@ -1,4 +1,5 @@
-"""Runs the program with a wall clock that the rig steps: `python -m rig.sockets.stepped FILE serve ...`.
+"""Runs the program with a wall clock that the rig steps:
+`python -m rig.processes.stepped_clock FILE serve ...`.
 
 FILE holds by how many seconds the wall clock is off, read at each look at it. With `--wall-leases`
 before it the leases of the fleet are counted on that clock too: a planted bug."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,20 +4,20 @@
 
 from typing import Any
 
-from myrtlecrank import port
 from myrtlecrank.core.actor import Core
-from myrtlecrank.core.letters import Answer, Arrived, Greeted, Ticket
+from myrtlecrank.core.messages import Answer, Arrived, Greeted, Ticket
 from myrtlecrank.frames import codec
-from myrtlecrank.logic import Controller
+from myrtlecrank.policy import interface
+from myrtlecrank.policy.controller import Controller
 
 
-def group(kind: port.Kind = port.Kind.REPEATABLE, **facts: Any) -> port.EndpointGroup:
+def group(kind: interface.Kind = interface.Kind.REPEATABLE, **facts: Any) -> interface.EndpointGroup:
     values: dict[str, Any] = {"slo": 1000.0, "timeout": 4000.0, "benefit": 1.0, "late_benefit": 0.2}
     values["window"] = 5000.0
-    return port.EndpointGroup("group", kind, **(values | facts))
+    return interface.EndpointGroup("group", kind, **(values | facts))
 
 
-def backend(*groups: port.EndpointGroup, **others: Any) -> tuple[Controller, list[Any]]:
+def backend(*groups: interface.EndpointGroup, **others: Any) -> tuple[Controller, list[Any]]:
     ops: list[Any] = []
     controller = Controller(facts(*groups, **others), ops.append, 0.0)
     ops.clear()
@@ -38,38 +38,38 @@
     "drain_grace": 1000.0,
     "answer_slack": 60.0,
     "tick": 2.0,
-    "halting": port.Halting.DROP,
+    "halting": interface.Halting.DROP,
     "wait_limit": 1000.0,
 }
 
 
-def arrival(left: float | None = 4000.0, kb: float = 10.0, **facts: Any) -> port.Exchange:
-    return port.Exchange(**({"group": 0, "left": left, "waited": 0.0, "kb": kb} | facts))
+def arrival(left: float | None = 4000.0, kb: float = 10.0, **facts: Any) -> interface.Exchange:
+    return interface.Exchange(**({"group": 0, "left": left, "waited": 0.0, "kb": kb} | facts))
 
 
-def arrive(controller: Controller, now: float, **facts: Any) -> port.Exchange:
+def arrive(controller: Controller, now: float, **facts: Any) -> interface.Exchange:
     ex = arrival(**facts)
     controller.arrived(ex, now)
     controller.settle(now)
     return ex
 
 
-def of(ops: list[Any], kind: type, ex: port.Exchange | None = None) -> list[Any]:
+def of(ops: list[Any], kind: type, ex: interface.Exchange | None = None) -> list[Any]:
     return [op for op in ops if isinstance(op, kind) and (ex is None or op.ex is ex)]
 
 
-def answers(ops: list[Any], ex: port.Exchange) -> list[Any]:
-    return of(ops, port.Deny, ex) + of(ops, port.Fail, ex)
+def answers(ops: list[Any], ex: interface.Exchange) -> list[Any]:
+    return of(ops, interface.Deny, ex) + of(ops, interface.Fail, ex)
 
 
-def facts(*groups: port.EndpointGroup, **others: Any) -> port.StartFacts:
-    return port.StartFacts(groups=list(groups) or [group()], **(FACTS | others))
+def facts(*groups: interface.EndpointGroup, **others: Any) -> interface.StartFacts:
+    return interface.StartFacts(groups=list(groups) or [group()], **(FACTS | others))
 
 
 class Play:
     """The module's actor with its agent and list played by hand."""
 
-    def __init__(self, *groups: port.EndpointGroup, greeted: bool = True, **others: Any) -> None:
+    def __init__(self, *groups: interface.EndpointGroup, greeted: bool = True, **others: Any) -> None:
         self.commanded: list[Any] = []
         self.health: list[bool] = []
         self.answers: list[Answer] = []
--- a/tests/test_pace.py
+++ b/tests/test_accept_rate.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from myrtlecrank.edge.pace import SLOWEST, Accepting, Pace, contradictions
+from myrtlecrank.edge.accept_rate import SLOWEST, Accepting, Pace, contradictions
 
 
 def accepted(pace: Pace, span: float, warmth: float = 1.0, begin: float = 0.0) -> int:
--- a/tests/test_farm.py
+++ b/tests/test_agent_client.py
@@ -8,13 +8,13 @@
 import pytest
 from gevent import socket
 
-from myrtlecrank.core.ends import End
-from myrtlecrank.core.letters import Freeze, Greeted, Launch, Parted, RunEnded, Sample, Sampled, Unsent
+from myrtlecrank.agent import codec
+from myrtlecrank.agent.client import SILENT_BEATS, Link
+from myrtlecrank.core.connection_errors import End
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.farm import lines
-from myrtlecrank.farm.link import SILENT_BEATS, Link
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Gauges, Outcome
+from myrtlecrank.core.messages import Freeze, Greeted, Launch, Parted, RunEnded, Sample, Sampled, Unsent
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.policy.interface import Gauges, Outcome
 
 RESULT = b"a\r\noutcome 9 ff PASS 1 0\r\n"
 SPEECH = (
@@ -32,7 +32,7 @@
     ring = Ring()
     for piece in pieces:
         ring.append(piece)
-        for notice in lines.notices(ring):
+        for notice in codec.notices(ring):
             link.notice(notice)
     return told
 
@@ -59,7 +59,7 @@
     "raw", [b"outcome 1 aa PASS 3 x\r\n", b"outcome 1 aa PASS 3 2\r\nabc\r\n", b"a" * 70_000]
 )
 def test_what_are_no_lines_ends_the_link(raw: bytes) -> None:
-    with pytest.raises(lines.Broken):
+    with pytest.raises(codec.Broken):
         heard(raw)
 
 
@@ -78,9 +78,9 @@
 
 
 def test_commands() -> None:
-    assert lines.command(Launch("aa", "group", b"x\r\n")) == b"launch aa group 3\r\nx\r\n\r\n"
-    assert lines.command(Freeze("aa")) + lines.command(Sample("b1")) == b"freeze aa\r\nsample b1\r\n"
-    assert lines.subscribe(7) == b"subscribe 7\r\n"
+    assert codec.command(Launch("aa", "group", b"x\r\n")) == b"launch aa group 3\r\nx\r\n\r\n"
+    assert codec.command(Freeze("aa")) + codec.command(Sample("b1")) == b"freeze aa\r\nsample b1\r\n"
+    assert codec.subscribe(7) == b"subscribe 7\r\n"
 
 
 def agent(listener: Any, links: list[Any], greet: bytes = b"greeting LOADED 5\r\n") -> None:
@@ -96,7 +96,7 @@
     links: list[Any] = []
     letters: Mailbox[Any] = Mailbox(100)
     clock = [50_000.0]
-    monkeypatch.setattr("myrtlecrank.farm.link.time.monotonic", lambda: clock[0])
+    monkeypatch.setattr("myrtlecrank.agent.client.time.monotonic", lambda: clock[0])
     greetings = iter([b"9000", b"12000", b"1500", b"1510"])
 
     def speak(listener: Any) -> None:
@@ -149,7 +149,7 @@
     """We stand still for 1.4 s between asking for it and reading it; the link had stood for 100 ms."""
     letters: Mailbox[Any] = Mailbox(100)
     clock, links = [50_000.0], list[Any]()
-    monkeypatch.setattr("myrtlecrank.farm.link.time.monotonic", lambda: clock[0])
+    monkeypatch.setattr("myrtlecrank.agent.client.time.monotonic", lambda: clock[0])
 
     def speak(listener: Any) -> None:
         for up in (b"9000", b"9100"):
--- a/tests/test_logic.py
+++ b/tests/test_controller.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import answers, arrive, backend, group, of
 
-from myrtlecrank.logic import CPU_SPAN, LEAST_WEIGHT, Controller, Word
-from myrtlecrank.port import (
+from myrtlecrank.policy.controller import CPU_SPAN, LEAST_WEIGHT, Controller, Word
+from myrtlecrank.policy.interface import (
     Below,
     Call,
     Deny,
@@ -315,7 +315,7 @@
 
 
 def test_a_tenant_beyond_its_part_is_worth_less() -> None:
-    from myrtlecrank.port import Tenant
+    from myrtlecrank.policy.interface import Tenant
 
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
     controller, _ = backend(tenants=tenants, over_share_benefit=0.05, backends=2)
--- a/tests/test_logic_storm.py
+++ b/tests/test_controller_retry_storm.py
@@ -5,8 +5,8 @@
 import pytest
 from helpers import answers, arrival, arrive, backend, group, of
 
-from myrtlecrank.logic import Controller
-from myrtlecrank.port import Deny, Exchange, Gauges, Meaning, Publish, Start
+from myrtlecrank.policy.controller import Controller
+from myrtlecrank.policy.interface import Deny, Exchange, Gauges, Meaning, Publish, Start
 
 CALM, STORM = Gauges(1.0, 6.0, 0.1, 1.0), Gauges(1.0, 6.0, 0.1, 1.0, storm=True)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,8 +10,8 @@
 import pytest
 from helpers import Play, group
 
-from myrtlecrank.core.ends import End
-from myrtlecrank.core.letters import (
+from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.messages import (
     CallersLeft,
     Freeze,
     Greeted,
@@ -24,7 +24,7 @@
     Unsent,
     Verdict,
 )
-from myrtlecrank.port import Gauges, Kind, Outcome
+from myrtlecrank.policy.interface import Gauges, Kind, Outcome
 
 
 def test_a_run_brings_its_result_to_the_caller_once() -> None:
--- a/tests/test_below.py
+++ b/tests/test_dependency_client.py
@@ -13,10 +13,10 @@
 from gevent.event import Event
 from helpers import Play, group
 
-from myrtlecrank.below import lines
-from myrtlecrank.below.link import OVERDUE_BEATS, BelowLink
-from myrtlecrank.core.ends import End
-from myrtlecrank.core.letters import (
+from myrtlecrank.agent.codec import Ended, Needs, command, notices
+from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.mailbox import Mailbox
+from myrtlecrank.core.messages import (
     Abandon,
     AtCall,
     Call,
@@ -33,10 +33,10 @@
     Sampled,
     Verdict,
 )
-from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.farm.lines import Ended, Needs, command, notices
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Below, Gauges, Kind, Outcome
+from myrtlecrank.dependency import codec
+from myrtlecrank.dependency.client import OVERDUE_BEATS, BelowLink
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.policy.interface import Below, Gauges, Kind, Outcome
 
 FORGED = b"x\r\noutcome 9 ff PASS 1 0\r\n\r\nrequest 10 ee 1\r\nq"
 WAIT_S = 10.0
@@ -53,13 +53,13 @@
 
 
 def test_commands_and_replies() -> None:
-    assert lines.command(Call("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
-    assert lines.command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
-    assert lines.command(Abandon("aa")) == b"UNOP aa\r\n"
+    assert codec.command(Call("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
+    assert codec.command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
+    assert codec.command(Abandon("aa")) == b"UNOP aa\r\n"
     assert command(Deliver("aa", b"x\r\n")) + command(Forgo("aa")) == b"deliver aa 3\r\nx\r\n\r\nforgo aa\r\n"
     ring = Ring()
     ring.append(b"aa DONE 3\r\nx\r\n\r\nbb WAIT 30\r\ncc ERROR\r\ndd PAST\r\nee EMPTY\r\nff DONE 9\r\nshort")
-    assert [(r.ident, r.outcome, r.result) for r in lines.replies(ring)] == [
+    assert [(r.ident, r.outcome, r.result) for r in codec.replies(ring)] == [
         ("aa", Outcome.OK, b"x\r\n"),
         ("bb", Outcome.FULL, b""),
         ("cc", Outcome.ERROR, b""),
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -13,14 +13,14 @@
 from helpers import Play, ask_bytes, group
 
 from myrtlecrank.core.actor import now_ms
-from myrtlecrank.core.ends import End
-from myrtlecrank.core.letters import Answer, Arrived, CallersLeft, Leave, Verdict
-from myrtlecrank.edge.front import Front
-from myrtlecrank.edge.pace import Accepting
+from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.messages import Answer, Arrived, CallersLeft, Leave, Verdict
+from myrtlecrank.edge.accept_rate import Accepting
+from myrtlecrank.edge.server import Front
 from myrtlecrank.frames import codec
-from myrtlecrank.frames.ring import Ring
-from myrtlecrank.port import Kind, Tenant
-from myrtlecrank.roll.actor import Roll
+from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.membership_list.client import Roll
+from myrtlecrank.policy.interface import Kind, Tenant
 
 WAIT_S = 10.0
 
@@ -568,7 +568,7 @@
 
 
 def test_a_list_that_never_answers_is_one_failed_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("myrtlecrank.roll.actor.CALL_S", 0.05)
+    monkeypatch.setattr("myrtlecrank.membership_list.client.CALL_S", 0.05)
     with gevent.Timeout(3 * WAIT_S), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_membership.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from myrtlecrank.fleet.members.decide import MOST_RUMOURS, WORST_HEALTH, Members, Pace, Send
-from myrtlecrank.fleet.members.words import Ack, Ping, PingFor, Rumour, State, Swap, Word
-from rig.several.world import World
+from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Rumour, State, Swap, Word
+from myrtlecrank.fleet.membership.swim import MOST_RUMOURS, WORST_HEALTH, Members, Pace, Send
+from rig.multi_node.environment import World
 
 PACE = Pace(probe=500.0, reply=150.0, helpers=3, suspect=1500.0, forget=60_000.0, swap=5000.0)
 HERE = ("127.0.0.1", 1)
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_monitor.py
@@ -4,8 +4,8 @@
 
 import math
 
-from myrtlecrank.fleet.watch.decide import Watch
-from myrtlecrank.fleet.watch.words import Gauges, Seen, Told, Watched
+from myrtlecrank.fleet.monitor.messages import Gauges, Seen, Told, Watched
+from myrtlecrank.fleet.monitor.monitor import Watch
 
 MINE, OTHER = Gauges(value=1.0), Gauges(value=2.0, storm=True)
 
--- a/tests/test_fleet_owner.py
+++ b/tests/test_fleet_ownership.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from myrtlecrank.fleet.bounds import Bounds, DutyOf, taken_over, waiting
-from myrtlecrank.fleet.decide import Fleet, Plan
-from myrtlecrank.fleet.members.decide import Pace
-from myrtlecrank.fleet.members.words import Rumour, State
-from myrtlecrank.fleet.owner.decide import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
-from myrtlecrank.fleet.register.words import NOTHING, Outcome, Record, Result
-from myrtlecrank.fleet.steps import Effect, Steps, Work
-from rig.several.walk_owner import Walk, believes_a_glance, counts_from_the_answer, one_turn
+from myrtlecrank.fleet.member import Fleet, Plan
+from myrtlecrank.fleet.membership.messages import Rumour, State
+from myrtlecrank.fleet.membership.swim import Pace
+from myrtlecrank.fleet.options import Bounds, DutyOf, taken_over, waiting
+from myrtlecrank.fleet.ownership.lease import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
+from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
+from myrtlecrank.fleet.step_scheduler import Effect, Steps, Work
+from rig.multi_node.ownership_model_check import Walk, believes_a_glance, counts_from_the_answer, one_turn
 
 TERMS = Terms.of(1000.0, 0.01, 250.0)
 
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_peer_links.py
@@ -18,10 +18,10 @@
 from test_program import WHOLE, free_address
 
 from myrtlecrank import subsystems
-from myrtlecrank.fleet.bounds import Bounds
-from myrtlecrank.fleet.links import LENGTH, LONGEST, OPERATOR, Links, Reader, RefusedError, packed
-from myrtlecrank.fleet.members.words import Ack, Ping
-from myrtlecrank.fleet.words import VERSION, Hello, Message, Report, Tell
+from myrtlecrank.fleet.membership.messages import Ack, Ping
+from myrtlecrank.fleet.messages import VERSION, Hello, Message, Report, Tell
+from myrtlecrank.fleet.options import Bounds
+from myrtlecrank.fleet.peer_links import LENGTH, LONGEST, OPERATOR, Links, Reader, RefusedError, packed
 
 ROOT = Path(__file__).resolve().parent.parent
 Ends = tuple[Links, Links, "Queue[Any]"]
@@ -271,4 +271,4 @@
         text=True,
         check=True,
     )
-    assert "myrtlecrank.fleet.bounds" in done.stdout
+    assert "myrtlecrank.fleet.options" in done.stdout
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -12,9 +12,9 @@
 import pytest
 from gevent import socket
 
-from myrtlecrank.fleet.links import packed
-from myrtlecrank.fleet.words import VERSION, Hello
-from rig.sockets.owners import RealPlay
+from myrtlecrank.fleet.messages import VERSION, Hello
+from myrtlecrank.fleet.peer_links import packed
+from rig.processes.ownership_experiment import RealPlay
 
 
 def played(play: RealPlay) -> Iterator[RealPlay]:
--- a/tests/test_fleet_reseat.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -7,12 +7,11 @@
 
 import pytest
 
+from myrtlecrank.fleet.messages import Asked, Voted
 from myrtlecrank.fleet.register import disk as disks
 from myrtlecrank.fleet.register.calls import Calls, replies
-from myrtlecrank.fleet.register.decide import BOOTS_A_ROSTER, Proposer, Voter
-from myrtlecrank.fleet.register.reseat import Reseated, reseat
-from myrtlecrank.fleet.register.roster import Roster, founding, guessed
-from myrtlecrank.fleet.register.words import (
+from myrtlecrank.fleet.register.caspaxos import BOOTS_A_ROSTER, Proposer, Voter
+from myrtlecrank.fleet.register.messages import (
     NOTHING,
     Ballot,
     Enlist,
@@ -25,8 +24,9 @@
     Result,
     Seated,
 )
-from myrtlecrank.fleet.words import Asked, Voted
-from rig.several import history, shuffle
+from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
+from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
+from rig.multi_node import register_history, shuffle
 
 ABC = founding("abc")
 JOINT = ABC.changed("c", {"d": "d/1:1"})
@@ -368,7 +368,7 @@
 
 @pytest.mark.parametrize("trusted", [False, True])
 def test_histories_stay_linearizable_while_voters_are_replaced(trusted: bool) -> None:
-    judged = [history.play(seed, trusted, change=True) for seed in range(40)]
+    judged = [register_history.play(seed, trusted, change=True) for seed in range(40)]
     assert [one.seed for one in judged if not one.ok] == []
     assert sum(one.known for one in judged) > 400 and sum(one.reseated for one in judged) > 12
 
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -10,10 +10,8 @@
 import pytest
 
 from myrtlecrank.fleet.register import disk as disks
-from myrtlecrank.fleet.register.decide import MOST_KEYS, Pause, Proposer, Round, Voter, counted
-from myrtlecrank.fleet.register.roster import founding
-from myrtlecrank.fleet.register.sqlite import SqliteRegister
-from myrtlecrank.fleet.register.words import (
+from myrtlecrank.fleet.register.caspaxos import MOST_KEYS, Pause, Proposer, Round, Voter, counted
+from myrtlecrank.fleet.register.messages import (
     LONGEST_VALUE,
     NOTHING,
     Accept,
@@ -29,9 +27,11 @@
     Slot,
     Vote,
 )
-from rig.several import history
-from rig.several.judge import Op, linearizable
-from rig.several.walk import Walk
+from myrtlecrank.fleet.register.sqlite import SqliteRegister
+from myrtlecrank.fleet.register.voter_set import founding
+from rig.multi_node import register_history
+from rig.multi_node.checkers import Op, linearizable
+from rig.multi_node.register_model_check import Walk
 
 NAMES = ("a", "b", "c")
 ROSTER = founding(NAMES)
@@ -373,21 +373,21 @@
 
 @pytest.mark.parametrize("trusted", [False, True])
 def test_histories_under_faults_are_linearizable(trusted: bool) -> None:
-    judged = [history.play(seed, trusted) for seed in range(60)]
+    judged = [register_history.play(seed, trusted) for seed in range(60)]
     assert [one.seed for one in judged if not one.ok] == []
     assert sum(one.known for one in judged) > 500, "most calls end, or the judge sees nothing"
 
 
 def test_a_seed_gives_the_same_history_each_time() -> None:
-    assert history.play(5).history == history.play(5).history
+    assert register_history.play(5).history == register_history.play(5).history
 
 
 @pytest.mark.parametrize(
     ("bug", "seeds"), [("stale", range(20, 21)), ("ballot", range(299, 300)), ("forget", range(27, 28))]
 )
 def test_planted_bugs_of_the_register_are_found(bug: str, seeds: range) -> None:
-    plant = {"stale": history.stale_read, "ballot": history.ballot_again}.get(bug)
-    assert not all(history.play(seed, plant=plant, forget=bug == "forget").ok for seed in seeds)
+    plant = {"stale": register_history.stale_read, "ballot": register_history.ballot_again}.get(bug)
+    assert not all(register_history.play(seed, plant=plant, forget=bug == "forget").ok for seed in seeds)
 
 
 def test_a_first_question_tells_that_no_boot_was_known() -> None:
--- a/tests/test_fleet_play.py
+++ b/tests/test_fleet_simulation.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from myrtlecrank.fleet.steps import Effect
-from rig.several.bugs import BUGS
-from rig.several.judge import Away, Resource
-from rig.several.owners import Scene, play
+from myrtlecrank.fleet.step_scheduler import Effect
+from rig.multi_node.checkers import Away, Resource
+from rig.multi_node.ownership_experiment import Scene, play
+from rig.multi_node.planted_faults import BUGS
 
 
 def test_the_resource_refuses_what_is_late_and_knows_a_step_again() -> None:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -9,7 +9,7 @@
 from helpers import ask_bytes
 
 from myrtlecrank.frames import codec
-from myrtlecrank.frames.ring import Ring
+from myrtlecrank.frames.ring_buffer import Ring
 
 
 def read(*pieces: bytes) -> list[Any]:
--- a/tests/test_keys.py
+++ b/tests/test_keyed_exchanges.py
@@ -8,10 +8,9 @@
 import pytest
 from helpers import Play, arrival, backend, group, of
 
-from myrtlecrank import port
 from myrtlecrank.core import actor
-from myrtlecrank.core.ends import End
-from myrtlecrank.core.letters import (
+from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.messages import (
     CallersLeft,
     Freeze,
     Greeted,
@@ -22,7 +21,8 @@
     Sampled,
     Verdict,
 )
-from myrtlecrank.port import Gauges, Kind, Outcome
+from myrtlecrank.policy import interface
+from myrtlecrank.policy.interface import Gauges, Kind, Outcome
 
 
 def keyed(**others: Any) -> Play:
@@ -167,6 +167,6 @@
     controller.settle(0.0)
     assert controller.used_kb == 200.0  # running and its key
     controller.finished(ex, Outcome.MOOT, 0.0, 1.0)
-    assert controller.used_kb == 0.0 and of(ops, port.Retain)
+    assert controller.used_kb == 0.0 and of(ops, interface.Retain)
     controller.settle(6000.0)
     assert controller.used_kb == 0.0
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,13 +10,13 @@
 
 from myrtlecrank import subsystems
 from myrtlecrank.cli import main
-from myrtlecrank.core.letters import Adopt
-from myrtlecrank.edge.pace import Accepting
+from myrtlecrank.core.messages import Adopt
+from myrtlecrank.edge.accept_rate import Accepting
 from myrtlecrank.operators.file import LONGEST, OperatorsError
-from myrtlecrank.port import Gauges
-from myrtlecrank.repeats.bounds import Bounds
-from myrtlecrank.repeats.decide import Tide
-from myrtlecrank.repeats.report import Report
+from myrtlecrank.policy.interface import Gauges
+from myrtlecrank.retries.estimator import Tide
+from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.storm_log import Report
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,10 +16,10 @@
 from gevent import socket
 from helpers import ask_bytes
 
-from myrtlecrank import orders
+from myrtlecrank import configuration
 from myrtlecrank.log import AT_MOST, Sparing
-from myrtlecrank.port import Meaning
-from myrtlecrank.startfacts import Fields
+from myrtlecrank.policy.interface import Meaning
+from myrtlecrank.settings import Fields
 
 GROUP = {"name": "group", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000}
 WHOLE = {
@@ -55,7 +55,7 @@
 
 
 def test_a_configuration_becomes_what_the_program_uses() -> None:
-    told = orders.parse(Fields(WHOLE, "it"))
+    told = configuration.parse(Fields(WHOLE, "it"))
     assert told.agent == ("127.0.0.1", 7300) and told.gauges == ["connections", "", "cpu"]
     assert told.facts.seed == 0x8C1F30D27A5BE964 and told.facts.meaning is Meaning.CREDIT
     assert told.facts.groups[0].slo == 1000.0
@@ -81,8 +81,8 @@
 ) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(changed(path, value)))
-    with pytest.raises(orders.OrdersError, match=message) as caught:
-        orders.read(str(file))
+    with pytest.raises(configuration.OrdersError, match=message) as caught:
+        configuration.read(str(file))
     assert "\n" not in str(caught.value)
 
 
@@ -101,14 +101,14 @@
 ) -> None:
     file = tmp_path / "config.json"
     file.write_text(text)
-    with pytest.raises(orders.OrdersError, match=message):
-        orders.read(str(file))
+    with pytest.raises(configuration.OrdersError, match=message):
+        configuration.read(str(file))
 
 
 def test_what_a_running_process_cannot_take_over_is_named() -> None:
-    old = orders.parse(Fields(WHOLE, "it"))
-    new = orders.parse(Fields(changed("seed", "ab") | {"agent": "127.0.0.1:1", "stop_ms": 5}, "it"))
-    assert old.unlike(new) == ["seed", "stop_ms"] and not old.unlike(orders.parse(Fields(WHOLE, "it")))
+    old = configuration.parse(Fields(WHOLE, "it"))
+    new = configuration.parse(Fields(changed("seed", "ab") | {"agent": "127.0.0.1:1", "stop_ms": 5}, "it"))
+    assert old.unlike(new) == ["seed", "stop_ms"] and not old.unlike(configuration.parse(Fields(WHOLE, "it")))
 
 
 def test_lines_that_repeat_are_counted_instead() -> None:
@@ -290,11 +290,11 @@
 
 def test_a_signal_that_comes_before_the_start_waits_for_it(tmp_path: Path) -> None:
     text = (
-        "import os, signal\nfrom myrtlecrank import orders\nread = orders.read\n"
+        "import os, signal\nfrom myrtlecrank import configuration\nread = configuration.read\n"
         "def slow(file):\n"
         "    os.kill(os.getpid(), signal.SIGHUP)\n    os.kill(os.getpid(), signal.SIGTERM)\n"
         "    return read(file)\n"
-        "orders.read = slow\n"
+        "configuration.read = slow\n"
         "from myrtlecrank.cli import main; main(['serve'])"
     )
     done = outcome(tmp_path, text)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,7 +8,7 @@
 import pytest
 from gevent import socket
 
-from rig.sockets.proxy import Proxy
+from rig.processes.proxy import Proxy
 
 Ends = tuple[Proxy, socket.socket, socket.socket]
 
--- a/tests/test_repeats.py
+++ b/tests/test_retries.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from myrtlecrank.repeats.bounds import Bounds
-from myrtlecrank.repeats.callers import Heeding
-from myrtlecrank.repeats.decide import Repeats
-from myrtlecrank.repeats.given import GivenUp
-from myrtlecrank.repeats.patience import Patience
+from myrtlecrank.retries.abandoned import GivenUp
+from myrtlecrank.retries.caller_timeouts import Patience
+from myrtlecrank.retries.estimator import Repeats
+from myrtlecrank.retries.noncompliance import Heeding
+from myrtlecrank.retries.options import Bounds
 
 DEADLINE = 2500.0
 
--- a/tests/test_benchlink.py
+++ b/tests/test_simulator_adapter.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from myrtlecrank.benchlink import host
-from myrtlecrank.benchlink.wire import WireError
-from myrtlecrank.repeats.bounds import Bounds
-from myrtlecrank.startfacts import Fields
+from myrtlecrank.retries.options import Bounds
+from myrtlecrank.settings import Fields
+from myrtlecrank.simulator_adapter import host
+from myrtlecrank.simulator_adapter.protocol import WireError
 
 CONF = {
     "categories": [{"name": "a", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000, "new": 1}],
