--- a/myrtlecrank/agent/client.py
+++ b/myrtlecrank/agent/client.py
@@ -24,7 +24,7 @@
     Sampled,
     Unsent,
 )
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Gauges, Outcome
 
 FIRST_PAUSE, LONGEST_PAUSE = 0.02, 0.25  # seconds between tries to connect
@@ -41,7 +41,7 @@
         self.mailbox: Mailbox[Command] = Mailbox(MAILBOX)
         self.read = 0  # the last notice that was read
         self.greeted = self.known_up = False
-        self.outgoing = Ring()
+        self.outgoing = RingBuffer()
         self.heard, self.quiet = False, 0  # since the last beat; beats on which nothing had come
         self.sock: socket.socket | None = None
         self.dropped: End | None = None
@@ -87,7 +87,7 @@
             try:
                 ring.append(b"".join(map(codec.command, wanted)))
                 while ring:
-                    ring.skip(sock.send(ring.data()))
+                    ring.discard(sock.send(ring.readable_view()))
             except OSError as error:
                 if sock is self.sock:  # it may have ended, and another may stand by now
                     self._drop(of_error(error))
@@ -109,7 +109,7 @@
 
     def _session(self) -> End:
         sock = self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.heard, self.outgoing = True, Ring()
+        self.heard, self.outgoing = True, RingBuffer()
         try:
             sock.settimeout(CONNECT_S)
             sock.connect(self.address)
@@ -117,7 +117,7 @@
             self.asked = time.monotonic() * 1000.0
             sock.sendall(codec.subscribe(self.read))
             sock.settimeout(None)  # the machine may come up long after this
-            return self._notices(sock, Ring(FIRST_READ))
+            return self._notices(sock, RingBuffer(FIRST_READ))
         except OSError as error:
             return of_error(error)
         except codec.Broken as error:
@@ -127,14 +127,14 @@
             self.sock = None
             sock.close()
 
-    def _notices(self, sock: socket.socket, ring: Ring) -> End:
+    def _notices(self, sock: socket.socket, ring: RingBuffer) -> End:
         while True:
-            room = ring.room()
+            room = ring.writable_view()
             count = sock.recv_into(room)
             if count == 0:
                 return End.CLOSED
             full = count == len(room)
-            ring.wrote(count)
+            ring.mark_written(count)
             self.heard = True
             for notice in codec.notices(ring):
                 if isinstance(notice, codec.Greeting) and not self.greeted:
--- a/myrtlecrank/agent/codec.py
+++ b/myrtlecrank/agent/codec.py
@@ -7,7 +7,7 @@
 from math import isfinite
 
 from myrtlecrank.core.messages import Command, Deliver, Forgo, Freeze, Launch, Sample
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
 LONGEST_LINE, LONGEST_RESULT = 65_536, 1_048_576
@@ -74,7 +74,7 @@
     """The link no longer carries lines."""
 
 
-def notices(ring: Ring) -> Iterator[Notice]:
+def notices(ring: RingBuffer) -> Iterator[Notice]:
     """Takes the whole notices off the ring; all that is there is copied once, however many they are."""
     raw, at = ring.peek(len(ring)), 0
     try:
@@ -99,7 +99,7 @@
             at = after
             yield _notice(words, result, line)
     finally:
-        ring.skip(at)
+        ring.discard(at)
 
 
 def _count(word: str, top: int) -> int:
--- a/myrtlecrank/dependency/client.py
+++ b/myrtlecrank/dependency/client.py
@@ -12,7 +12,7 @@
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.messages import Abandon, Below, Call, CallEnded, Event
 from myrtlecrank.dependency import codec
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
 MAILBOX = 4096
@@ -66,7 +66,7 @@
     def _share_out(self, wire: Wire | None, wanted: list[Below]) -> None:
         """Calls go out on `wire`; one that is given up is so on the link that it is out on, which may be one
         that was left behind."""
-        rings: dict[Wire, Ring] = {}
+        rings: dict[Wire, RingBuffer] = {}
         for one in wanted:
             # A call is out before its first byte: once the write has begun nothing proves that it never came.
             if isinstance(one, Abandon):
@@ -80,17 +80,17 @@
             else:
                 holder = wire
                 wire.out[one.ident] = self.now, self.now + one.timeout
-            rings.setdefault(holder, Ring()).append(codec.command(one))
+            rings.setdefault(holder, RingBuffer()).append(codec.command(one))
         for holder, ring in rings.items():
             self._write(holder, ring)
             if holder is not self.wire and not holder.out:
                 holder.drop(End.LEFT)  # nothing comes back on it any more that anybody waits for
 
-    def _write(self, wire: Wire, ring: Ring) -> None:
+    def _write(self, wire: Wire, ring: RingBuffer) -> None:
         wire.writing = True
         try:
             while ring:
-                ring.skip(wire.sock.send(ring.data()))
+                ring.discard(wire.sock.send(ring.readable_view()))
         except OSError as error:
             wire.drop(of_error(error))
         wire.writing = False
@@ -161,13 +161,13 @@
         wire.out.clear()
 
     def _replies(self, wire: Wire) -> End:
-        ring = Ring(FIRST_READ)
+        ring = RingBuffer(FIRST_READ)
         try:
             while True:
-                count = wire.sock.recv_into(ring.room())
+                count = wire.sock.recv_into(ring.writable_view())
                 if count == 0:
                     return End.CLOSED
-                ring.wrote(count)
+                ring.mark_written(count)
                 wire.quiet_beats = 0
                 for reply in codec.replies(ring):
                     sent, _ = wire.out.pop(reply.ident, (None, 0.0))
--- a/myrtlecrank/dependency/codec.py
+++ b/myrtlecrank/dependency/codec.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from myrtlecrank.core.messages import Abandon, Below, Call
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
 LONGEST_LINE, LONGEST_RESULT = 4096, 1_048_576
@@ -40,7 +40,7 @@
             return b"UNOP %b\r\n" % ident.encode()
 
 
-def replies(ring: Ring) -> Iterator[Reply]:
+def replies(ring: RingBuffer) -> Iterator[Reply]:
     """Takes the whole replies off the ring; raises Broken where the bytes are none."""
     raw, at = ring.peek(len(ring)), 0
     try:
@@ -64,7 +64,7 @@
             at = after
             yield Reply(words[0], ENDS[words[1]], result)
     finally:
-        ring.skip(at)
+        ring.discard(at)
 
 
 def _count(word: str) -> int:
--- a/myrtlecrank/edge/__init__.py
+++ b/myrtlecrank/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The front that speaks frames with the callers."""
+"""The edge server: accepts callers' connections and speaks the edge protocol with them."""
--- a/myrtlecrank/edge/accept_rate.py
+++ b/myrtlecrank/edge/accept_rate.py
@@ -1,9 +1,10 @@
-"""How fast new connections are accepted: decisions only, no I/O and no clock. Times in ms.
+"""The rate at which new connections are accepted: decisions only, no I/O and no clock. Times in ms.
 
-Guards against reconnect storms: hundreds of callers that come at one instant, to a backend that just came
-back cold or to one whose loop is behind. Accepting all of them at once keeps the loop from the exchanges, the
-agent's link and the health checks that stand already; those that wait are in the system's backlog meanwhile,
-and lose nothing."""
+In a reconnect storm hundreds of callers connect at the same moment, to a backend that just came back cold or
+to one whose event loop is late. Accepting all of them at once would keep the loop from the exchanges, the
+agent's connection and the health checks it already serves. Connections that have to wait stay in the
+listener's backlog and lose nothing.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +12,15 @@
 
 from myrtlecrank.operators.sections import figure
 
-SLOWER, FASTER = 0.7, 1.1  # on each beat that is late, or is not
-ROUNDING = 1e-6  # of a turn: who waited as told must not be told to wait a nothing more
-SLOWEST = 0.1  # of the usual pace, however late the loop is
+SLOWDOWN_FACTOR = 0.7  # after a sampling tick that was late
+SPEEDUP_FACTOR = 1.1  # after one that was not
+MIN_RATE_SHARE = 0.1  # of the configured rate, however late the loop is
+TOKEN_TOLERANCE = 1e-6  # rounding must not make a caller wait again that has waited as long as it was told
 
 
 @dataclass(frozen=True, slots=True)
 class Accepting:
-    """Section [accepting]."""
+    """Options of the section [accepting] of the operators' file."""
 
     on: bool = figure(True, what="false: connections are accepted as they come")
     per_second: float = figure(2000.0, 10.0, 1_000_000.0, "connections accepted in a second, in the mean")
@@ -27,43 +29,44 @@
     late_ms: float = figure(50.0, 1.0, 10_000.0, "how late a beat may be before the pace falls")
 
 
-def contradictions(bounds: Accepting) -> list[str]:
-    """What is legal alone and senseless together, a line each."""
-    if bounds.cold_per_second > bounds.per_second:
+def contradictions(options: Accepting) -> list[str]:
+    """Returns a message for each pair of options that are legal alone but make no sense together."""
+    if options.cold_per_second > options.per_second:
         return [
-            f"cold_per_second: is {bounds.cold_per_second:g}, above per_second {bounds.per_second:g}: "
+            f"cold_per_second: is {options.cold_per_second:g}, above per_second {options.per_second:g}: "
             "a cold machine would be asked for more than a warm one"
         ]
     return []
 
 
-class Pace:
-    """A bucket of turns, filled at a pace that follows the warmth of the machine and how late the loop is."""
-
-    def __init__(self, bounds: Accepting, now: float) -> None:
-        self.bounds = bounds
-        self.turns = float(bounds.burst)
-        self.part = 1.0  # of the usual pace that the loop can take
-        self.now = now
-        self.held_back = 0  # connections that had to wait, since the last look
-
-    def per_second(self, warmth: float) -> float:
-        """`warmth`: 0 to 1."""
-        cold, warm = self.bounds.cold_per_second, self.bounds.per_second
-        return (cold + (warm - cold) * min(1.0, max(0.0, warmth))) * self.part
-
-    def wait(self, warmth: float, now: float) -> float:
-        """How long the next connection has to wait; where it need not, its turn is taken."""
-        pace = self.per_second(warmth) / 1000.0
-        self.turns = min(float(self.bounds.burst), self.turns + max(0.0, now - self.now) * pace)
-        self.now = now  # a clock that steps back costs the turns of that time
-        if self.turns > 1.0 - ROUNDING:
-            self.turns = max(0.0, self.turns - 1.0)
+class AcceptRateLimiter:
+    """A token bucket whose rate follows the machine's warmth and the lateness of the event loop."""
+
+    def __init__(self, options: Accepting, now: float) -> None:
+        self.options = options
+        self.tokens = float(options.burst)
+        self.rate_share = 1.0  # of the configured rate, lowered while the loop is late
+        self.refilled_at_ms = now
+        self.delayed_connections = 0  # since the server last read and reset it
+
+    def rate_per_second(self, warmth: float) -> float:
+        """Returns the current rate; `warmth` is 0 (cold) to 1 (warm)."""
+        cold, warm = self.options.cold_per_second, self.options.per_second
+        return (cold + (warm - cold) * min(1.0, max(0.0, warmth))) * self.rate_share
+
+    def acquire(self, warmth: float, now: float) -> float:
+        """Takes a token for the next connection and returns 0, or returns the ms until one is available."""
+        rate_per_ms = self.rate_per_second(warmth) / 1000.0
+        elapsed_ms = max(0.0, now - self.refilled_at_ms)
+        self.tokens = min(float(self.options.burst), self.tokens + elapsed_ms * rate_per_ms)
+        self.refilled_at_ms = now  # a clock that steps back costs the tokens of that time
+        if self.tokens > 1.0 - TOKEN_TOLERANCE:
+            self.tokens = max(0.0, self.tokens - 1.0)
             return 0.0
-        self.held_back += 1
-        return (1.0 - self.turns) / pace
+        self.delayed_connections += 1
+        return (1.0 - self.tokens) / rate_per_ms
 
-    def beat(self, late: float) -> None:
-        """`late`: how far a beat came after it was due."""
-        factor = SLOWER if late > self.bounds.late_ms else FASTER
-        self.part = min(1.0, max(SLOWEST, self.part * factor))
+    def adjust(self, late_ms: float) -> None:
+        """Lowers or raises the rate by how late the last sampling tick was."""
+        factor = SLOWDOWN_FACTOR if late_ms > self.options.late_ms else SPEEDUP_FACTOR
+        self.rate_share = min(1.0, max(MIN_RATE_SHARE, self.rate_share * factor))
--- a/myrtlecrank/edge/caller.py
+++ b/myrtlecrank/edge/caller.py
@@ -1,8 +1,9 @@
-"""The actor of one caller: turns its frames into tickets for the module and answers into frames."""
+"""The actor of one caller: turns requests into tickets for the core and the core's answers into frames."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import NamedTuple
 
 from myrtlecrank.core.actor import unix_ms
 from myrtlecrank.core.mailbox import Mailbox
@@ -11,89 +12,109 @@
 from myrtlecrank.edge.connection import Connection
 from myrtlecrank.frames import codec
 
-MAILBOX = 256
-AHEAD_MS = 1000.0  # of our clock, for a stamp that can still be taken
-WAITS = 2.0  # deadlines of its group that a caller may say it waits; it never waits for more than one
-CODES = {
+MAILBOX_MESSAGES = 256
+MAX_CLOCK_AHEAD_MS = 1000.0  # how far an arrival stamp may be ahead of our clock
+MAX_WAIT_TIMEOUTS = (
+    2.0  # async timeouts of its group that a caller may claim to wait; it waits for at most one
+)
+ANSWER_CODES = {
     Verdict.COMPLETED: codec.COMPLETED,
     Verdict.DENIED: codec.DENIED,
     Verdict.TERMINATED: codec.TERMINATED,
 }
 
 
+class GroupEntry(NamedTuple):
+    """What a caller's actor needs to know of an endpoint group."""
+
+    number: int
+    timeout_ms: float
+    is_deduplicated: bool
+
+
+UNKNOWN_GROUP = (None, 0.0, False)
+
+
 class Caller:
-    """Its mailbox takes the final answers; what its connections read is handed in on their own greenlets,
-    which wait there if the module has no room."""
+    """Delivers final answers from its mailbox to the caller's connections.
+
+    Requests are submitted on the greenlets of the connections that read them, which wait there while the
+    core's mailbox is full.
+    """
 
     def __init__(
         self,
-        groups: dict[str, tuple[int, float, bool]],  # number, deadline, whether it is deduplicated
+        groups: dict[str, GroupEntry],
         tenants: dict[str, int],
-        tells_left: bool,
-        board: Board,
-        hand_in: Callable[[Arrived], None],
+        sends_wait_time: bool,
+        published_state: Board,
+        submit: Callable[[Arrived], None],
     ) -> None:
-        self.groups, self.tenants, self.tells_left = groups, tenants, tells_left
-        self.board, self.hand_in = board, hand_in
+        self.groups = groups
+        self.tenants = tenants
+        self.sends_wait_time = sends_wait_time
+        self.published_state = published_state
+        self.submit = submit
         self.connections = 0
-        self.mailbox: Mailbox[Answer | None] = Mailbox(MAILBOX)
+        self.mailbox: Mailbox[Answer | None] = Mailbox(MAILBOX_MESSAGES)
 
     def run(self) -> None:
-        """Until None comes: then it has no connection any more."""
+        """Delivers answers until None arrives, which is posted when the last connection is gone."""
         while self._deliver(self.mailbox.take()):
             pass
 
-    def last_words(self) -> None:
-        """Before the process ends: what lies here would otherwise end with it."""
+    def deliver_pending(self) -> None:
+        """Delivers the answers in the mailbox, which would be lost when the process ends."""
         if self.mailbox:
             self._deliver(self.mailbox.take())
 
     def _deliver(self, answers: list[Answer | None]) -> bool:
+        """Writes the answers, with one flush for each connection. Returns whether None was not among them."""
         touched: dict[Connection, None] = {}
         for answer in answers:
             if answer is not None:
                 connection, stream = answer.ticket.place
-                connection.answered(stream, self.frame(stream, answer))
+                connection.queue_answer(stream, self._encode(stream, answer))
                 touched[connection] = None
         for connection in touched:
             connection.flush()
         return None not in answers
 
-    def frame(self, stream: int, answer: Answer) -> bytes:
-        code, value = CODES[answer.verdict], self.board.value
-        return codec.answer(stream, code, value, answer.wait, answer.last, answer.result)
+    def _encode(self, stream: int, answer: Answer) -> bytes:
+        code, value = ANSWER_CODES[answer.verdict], self.published_state.value
+        return codec.encode_answer(stream, code, value, answer.wait, answer.last, answer.result)
 
-    def asked(self, connection: Connection, ask: codec.Ask) -> None:
-        """What it brings has just been read: the connection was last used now."""
-        group, deadline, deduplicated = self.groups.get(ask.group, (None, 0.0, False))
-        tenant = self.tenants.get(ask.tenant or "") if self.tenants else 0
+    def handle_request(self, connection: Connection, request: codec.Request) -> None:
+        """Submits a request that was read just now, at `connection.last_used_ms`, or rejects it."""
+        group, timeout_ms, is_deduplicated = self.groups.get(request.group, UNKNOWN_GROUP)
+        tenant = self.tenants.get(request.tenant or "") if self.tenants else 0
         if group is None or tenant is None:
-            name = f"endpoint group {ask.group[:40]!r}" if group is None else f"tenant {ask.tenant!r}"
-            connection.spoiled(ask.stream, f"the unknown {name}")
+            name = f"endpoint group {request.group[:40]!r}" if group is None else f"tenant {request.tenant!r}"
+            connection.reject(request.stream, f"the unknown {name}")
             return
-        if self.tells_left and ask.wait is None:
-            connection.spoiled(ask.stream, "no time that its caller waits")
+        if self.sends_wait_time and request.wait_ms is None:
+            connection.reject(request.stream, "no field 'd', the time that its caller waits")
             return
-        if deduplicated and not ask.key:
-            # Guards against a second run: no repeat of it could be known.
-            connection.spoiled(ask.stream, "no key by which repeats are known")
+        if is_deduplicated and not request.key:
+            # Without a key a retry could not be recognized, and the exchange might run twice.
+            connection.reject(request.stream, "no field 'k', the key of a deduplicated exchange")
             return
-        ago = unix_ms() - ask.reached  # by the clock that the stamp came from
-        if ago < -AHEAD_MS or (ask.wait or 0.0) > WAITS * deadline:
-            connection.spoiled(ask.stream, "times that cannot be")
+        age_ms = unix_ms() - request.arrived_at_ms  # by the clock that the arrival stamp came from
+        if age_ms < -MAX_CLOCK_AHEAD_MS or (request.wait_ms or 0.0) > MAX_WAIT_TIMEOUTS * timeout_ms:
+            connection.reject(request.stream, "an arrival time in the future or too long a waiting time")
             return
-        ticket = connection.open[ask.stream] = Ticket(
-            ident=ask.ident,
+        ticket = connection.open_streams[request.stream] = Ticket(
+            ident=request.ident,
             group=group,
             tenant=tenant,
-            reached=connection.last_used - ago,
-            wait=ask.wait if self.tells_left else None,
-            kb=ask.kb,
-            rank=ask.rank,
-            caller=ask.caller,
-            about=(ask.key if deduplicated else ask.about) or "",
-            body=ask.body,
+            reached=connection.last_used_ms - age_ms,
+            wait=request.wait_ms if self.sends_wait_time else None,
+            kb=request.memory_kb,
+            rank=request.rank,
+            caller=request.caller,
+            about=(request.key if is_deduplicated else request.subject) or "",
+            body=request.body,
             answer=self.mailbox.post,
-            place=(connection, ask.stream),
+            place=(connection, request.stream),
         )
-        self.hand_in(Arrived(ticket))
+        self.submit(Arrived(ticket))
--- a/myrtlecrank/edge/connection.py
+++ b/myrtlecrank/edge/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: a ring in each direction and the streams that are open on it."""
+"""One connection of a caller: a ring buffer in each direction and the streams that are open on it."""
 
 from __future__ import annotations
 
@@ -14,251 +14,299 @@
 from myrtlecrank.core.messages import Ticket
 from myrtlecrank.core.published_state import Board
 from myrtlecrank.frames import codec
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 
-FIRST_READ = 2048  # bytes asked for at a time, more where more comes
-SHARE = 16  # reads after which the others get their turn, however much is still there
-UNSENT = 4 * codec.RESULT  # what may wait for a slow reader before we stop reading it
-STUCK_MS = 5000.0  # a reader that takes nothing for so long is gone
-HALF_MS = 2000.0  # a frame, the first of a connection included, is whole by then
-LINGER_S, LINGER_BYTES = 0.5, 262_144  # what still comes is taken off for so long and so much before a close
-THERE_S, THERE_MOST_S = 0.001, 0.1  # between looks whether one that shut its side is still there
-GAPS = 1024  # streams beyond a gap in their numbers that are remembered one by one
-Take = Callable[["Connection", codec.Ask | codec.GivenUp], None]
+READ_BUFFER_BYTES = 2048  # initial size; the buffer grows while more arrives
+READS_PER_TURN = 16  # reads after which the other greenlets get a turn, even if more data is ready
+MAX_UNSENT_BYTES = 4 * codec.MAX_RESULT_BYTES  # what a slow reader may leave unsent before we stop reading it
+STALLED_LIMIT_MS = 5000.0  # a reader that takes nothing for this long is considered gone
+INCOMPLETE_LIMIT_MS = 2000.0  # a frame, including the first of a connection, must be complete by then
+# Limits on reading off what still arrives before a close.
+LINGER_S = 0.5
+LINGER_BYTES = 262_144
+# Interval between checks whether a caller that shut down its sending side is still there.
+FIRST_PEER_CHECK_S = 0.001
+MAX_PEER_CHECK_S = 0.1
+MAX_STREAM_GAPS = 1024  # streams beyond a gap in their numbers that are remembered one by one
+FrameHandler = Callable[["Connection", codec.Request | codec.Abandoned], None]
 
 
 class Connection:
-    def __init__(self, sock: socket.socket, board: Board, take: Take, give_up: bool = False) -> None:
-        self.sock, self.board, self.take = sock, board, take
-        self._send: Callable[..., int] = sock.send  # gevent's takes a time-out as well
-        self.incoming, self.outgoing = Ring(FIRST_READ), Ring()
-        self.decoder = codec.Decoder(self.incoming, give_up)
-        self.open: dict[int, Ticket | None] = {}
+    """Reads frames, hands requests to `handle_frame` and writes the answers.
+
+    With `allows_abandon` the caller may send frames that abandon one exchange.
+    """
+
+    def __init__(
+        self,
+        sock: socket.socket,
+        published_state: Board,
+        handle_frame: FrameHandler,
+        allows_abandon: bool = False,
+    ) -> None:
+        self.sock = sock
+        self.published_state = published_state
+        self.handle_frame = handle_frame
+        self._send: Callable[..., int] = sock.send  # gevent's send takes a time-out as well
+        self.incoming = RingBuffer(READ_BUFFER_BYTES)
+        self.outgoing = RingBuffer()
+        self.decoder = codec.Decoder(self.incoming, allows_abandon)
+        self.open_streams: dict[int, Ticket | None] = {}
         self.caller: int | None = None
-        self.used_up_to, self.used_beyond = 0, set[int]()
-        self.last_used = 0.0
-        self.away_at: float | None = None  # when it was told to bring nothing new
+        self.streams_used_up_to = 0
+        self.streams_used_beyond = set[int]()
+        self.last_used_ms = 0.0
+        self.go_away_sent_at_ms: float | None = None
         self.end: End | None = None
-        self.reading = self.flushing = False
-        self.over: End | None = None  # nothing more is read; what is open is still answered
-        self.taken, self.taken_seen, self.stuck_for = 0, 0, 0.0
-        self.frames, self.frames_seen, self.half_for = 0, 0, 0.0
-        self.drained = Flag()
+        self.is_reading = False
+        self.is_flushing = False
+        # Why nothing more is read. Open streams are still answered.
+        self.read_end: End | None = None
+        self.bytes_sent = 0
+        self.bytes_sent_at_last_check = 0
+        self.stalled_ms = 0.0
+        self.frames_received = 0
+        self.frames_at_last_check = 0
+        self.incomplete_ms = 0.0
+        self.write_progress = Flag()
 
     def run(self) -> End:
-        """Reads until the connection ends or brings nothing more; what was read by then is answered first."""
+        """Reads until the connection ends or sends nothing more, then answers what was read by then."""
         try:
             self._read()
-        except codec.Broken as error:
+        except codec.ProtocolError as error:
             logger.warning("a connection ends, as it brought {}", error)
-            self.over = End.BROKEN
-            self.send(codec.error(self.board.value))
+            self.read_end = End.BROKEN
+            self.send(codec.encode_connection_error(self.published_state.value))
         except OSError as error:
-            self._ended(of_error(error))
-        self.reading = False
-        if self.over is not None and self.end is None:
-            self._see_off(self.over)
+            self._set_end(of_error(error))
+        self.is_reading = False
+        if self.read_end is not None and self.end is None:
+            self._finish_open_streams(self.read_end)
         return self.end or End.LEFT
 
     def _read(self) -> None:
         reads = 0
         while self.end is None:
-            self.reading = True
-            count = self.sock.recv_into(self.incoming.room())
-            self.reading = False
+            self.is_reading = True
+            count = self.sock.recv_into(self.incoming.writable_view())
+            self.is_reading = False
             if count == 0:
-                self.over = End.CLOSED
+                self.read_end = End.CLOSED
                 return
-            self.incoming.wrote(count)
+            self.incoming.mark_written(count)
             for frame in self.decoder.frames():
-                self.frame(frame)
+                self._dispatch(frame)
             self.flush()
-            while len(self.outgoing) > UNSENT and self.end is None:
-                self.drained.clear()
-                self.drained.wait()
+            while len(self.outgoing) > MAX_UNSENT_BYTES and self.end is None:
+                self.write_progress.clear()
+                self.write_progress.wait()
             reads += 1
-            if reads % SHARE == 0:
-                # Guards against a sender at full speed: a socket that always has something never waits,
-                # and so would keep the loop from all others.
+            if reads % READS_PER_TURN == 0:
+                # A socket that always has data never waits: one fast sender would starve all others.
                 gevent.sleep(0)
 
-    def _see_off(self, end: End) -> None:
-        """Guards exchanges that were read before a caller shut its side, or before bytes that are no frame:
-        it may still listen for their answers. Whether one that shut its side is gone altogether only writing
-        can tell: type 30 says nothing new to one that is not."""
-        if end is End.CLOSED and self.open:
-            self.send(codec.away())
-        pause = THERE_S
-        while (self.open or self.outgoing) and self.end is None:
-            self.drained.clear()
-            self.drained.wait(pause if end is End.CLOSED else None)
-            if end is End.CLOSED:
-                self._ask_if_there()
-                pause = min(2.0 * pause, THERE_MOST_S)
-        if end is End.BROKEN and self.end is None:
+    def _finish_open_streams(self, read_end: End) -> None:
+        """Waits until the open streams are answered, then ends the connection.
+
+        A caller that shut down its sending side, or that sent bytes which are not a frame, may still listen
+        for the answers to earlier exchanges. Only writing shows whether one that shut its side is gone
+        altogether; a GO_AWAY frame tells nothing new to one that is still there.
+        """
+        if read_end is End.CLOSED and self.open_streams:
+            self.send(codec.encode_go_away())
+        pause_s = FIRST_PEER_CHECK_S
+        while (self.open_streams or self.outgoing) and self.end is None:
+            self.write_progress.clear()
+            self.write_progress.wait(pause_s if read_end is End.CLOSED else None)
+            if read_end is End.CLOSED:
+                self._check_peer()
+                pause_s = min(2.0 * pause_s, MAX_PEER_CHECK_S)
+        if read_end is End.BROKEN and self.end is None:
             self._linger()
-        self._ended(end)
+        self._set_end(read_end)
 
     def _linger(self) -> None:
-        """A close with bytes unread is a reset, which destroys what is on its way to the caller."""
-        scratch, left = bytearray(FIRST_READ), LINGER_BYTES
+        """Reads off what still arrives.
+
+        A close with unread bytes is a reset, which destroys what is on its way to the caller.
+        """
+        scratch, remaining = bytearray(READ_BUFFER_BYTES), LINGER_BYTES
         try:
             with gevent.Timeout(LINGER_S, TimeoutError):
                 self.sock.shutdown(socket.SHUT_WR)
-                while left > 0:
+                while remaining > 0:
                     count = self.sock.recv_into(scratch)
                     if count == 0:
                         return
-                    left -= count
+                    remaining -= count
         except OSError:
             pass
 
-    def take_off(self) -> None:
-        """Takes what lies unread off the system's buffer, without waiting, however much still comes."""
+    def discard_unread(self) -> None:
+        """Reads off what lies in the socket's buffer, without waiting and in a bounded number of reads."""
         with suppress(OSError):
             self.sock.settimeout(0.0)
-            for _ in range(SHARE):
+            for _ in range(READS_PER_TURN):
                 if not self.sock.recv(LINGER_BYTES):
                     return
 
-    def busy(self) -> bool:
-        """Whether an answer is owed here, or is still on its way out."""
-        return bool(self.open or self.outgoing or self.flushing)
+    def has_pending_answers(self) -> bool:
+        """Whether an answer is owed on this connection or still being sent."""
+        return bool(self.open_streams or self.outgoing or self.is_flushing)
+
+    def has_no_input(self) -> bool:
+        """Whether neither part of a frame nor unread bytes in the socket's buffer are there.
 
-    def silent(self) -> bool:
-        """Whether nothing has come that no frame was made of: neither half a frame nor anything that lies in
-        the system's buffer. What was never read cannot be called idle."""
+        A connection with input that was never read must not count as idle.
+        """
         try:
-            return not (self.decoder.halfway() or self._glance())
+            return not (self.decoder.is_mid_frame() or self._peek_byte())
         except OSError:
             return True
 
-    def _glance(self) -> bytes:
-        """The next byte, if it is there, which stays; raises like any read that does not wait."""
-        usual = self.sock.gettimeout()
+    def _peek_byte(self) -> bytes:
+        """Returns the next byte without taking it; raises like any read that does not wait."""
+        timeout_s = self.sock.gettimeout()
         self.sock.settimeout(0.0)
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         finally:
-            self.sock.settimeout(usual)
+            self.sock.settimeout(timeout_s)
 
-    def frame(self, frame: codec.Frame) -> None:
-        self.frames += 1
-        if isinstance(frame, codec.GivenUp):
-            self.take(self, frame)
+    def _dispatch(self, frame: codec.Frame) -> None:
+        self.frames_received += 1
+        if isinstance(frame, codec.Abandoned):
+            self.handle_frame(self, frame)
             return
-        if isinstance(frame, codec.Check):
-            self.append(codec.checked(frame.stream, self.board.well, self.board.value))
+        if isinstance(frame, codec.HealthCheck):
+            state = self.published_state
+            self.queue(codec.encode_health_status(frame.stream, state.well, state.value))
             return
-        if not self._new(frame.stream):
-            raise codec.Broken(f"the stream {frame.stream} twice")
-        if isinstance(frame, codec.Spoiled):
-            self.spoiled(frame.stream, frame.why)
-        elif len(self.open) >= codec.OPEN_STREAMS:
-            self.spoiled(frame.stream, f"more than {codec.OPEN_STREAMS} exchanges at a time")
+        if not self._claim_stream(frame.stream):
+            raise codec.ProtocolError(f"the stream {frame.stream} twice")
+        if isinstance(frame, codec.InvalidRequest):
+            self.reject(frame.stream, frame.reason)
+        elif len(self.open_streams) >= codec.MAX_OPEN_STREAMS:
+            self.reject(frame.stream, f"more than {codec.MAX_OPEN_STREAMS} exchanges at a time")
         else:
-            self.open[frame.stream] = None
-            self.take(self, frame)
-
-    def spoiled(self, stream: int, why: str) -> None:
-        """Answers what cannot be taken in; all else on the connection goes on."""
-        logger.warning("an exchange is terminated: it brought {}", why)
-        self.open.pop(stream, None)
-        self.append(codec.answer(stream, codec.TERMINATED, self.board.value))
-
-    def _new(self, stream: int) -> bool:
-        if stream == self.used_up_to + 1 and not self.used_beyond:
-            self.used_up_to = stream
+            self.open_streams[frame.stream] = None
+            self.handle_frame(self, frame)
+
+    def reject(self, stream: int, reason: str) -> None:
+        """Terminates an exchange that cannot be taken in; the rest of the connection goes on."""
+        logger.warning("an exchange is terminated: it brought {}", reason)
+        self.open_streams.pop(stream, None)
+        self.queue(codec.encode_answer(stream, codec.TERMINATED, self.published_state.value))
+
+    def _claim_stream(self, stream: int) -> bool:
+        """Marks a stream number as used. Returns False if it was used before."""
+        if stream == self.streams_used_up_to + 1 and not self.streams_used_beyond:
+            self.streams_used_up_to = stream
             return True
-        if stream <= self.used_up_to or stream in self.used_beyond:
+        if stream <= self.streams_used_up_to or stream in self.streams_used_beyond:
             return False
-        self.used_beyond.add(stream)
-        if len(self.used_beyond) > GAPS:
-            self.used_up_to = min(self.used_beyond) - 1
-        while self.used_up_to + 1 in self.used_beyond:
-            self.used_up_to += 1
-            self.used_beyond.remove(self.used_up_to)
+        self.streams_used_beyond.add(stream)
+        if len(self.streams_used_beyond) > MAX_STREAM_GAPS:
+            self.streams_used_up_to = min(self.streams_used_beyond) - 1
+        while self.streams_used_up_to + 1 in self.streams_used_beyond:
+            self.streams_used_up_to += 1
+            self.streams_used_beyond.remove(self.streams_used_up_to)
         return True
 
-    def answered(self, stream: int, frame: bytes) -> None:
-        """To be followed by a flush()."""
-        if self.end is None and self.open.pop(stream, None) is not None:
-            self.append(frame)
-            if self.over is not None:
-                self.drained.set()
+    def queue_answer(self, stream: int, frame: bytes) -> None:
+        """Queues the answer of an open stream; a flush() must follow."""
+        if self.end is None and self.open_streams.pop(stream, None) is not None:
+            self.queue(frame)
+            if self.read_end is not None:
+                self.write_progress.set()
+
+    def send_go_away(self, now: float) -> None:
+        """Asks the caller, once, to send no new exchange on this connection.
 
-    def tell_away(self, now: float) -> None:
-        # Guards the answers of one that is being seen off: it may not be written to any more, and to end it
-        # for that would destroy them. Nothing new is taken from it anyway.
-        if self.away_at is None and self.end is None and self.over is None:
-            self.away_at = now
-            self.send(codec.away())
+        A connection on which nothing more is read sends nothing new anyway. Writing to it may fail, which
+        would end it and destroy the answers that are still on their way.
+        """
+        if self.go_away_sent_at_ms is None and self.end is None and self.read_end is None:
+            self.go_away_sent_at_ms = now
+            self.send(codec.encode_go_away())
 
     def send(self, data: bytes) -> None:
-        self.append(data)
+        """Queues `data` and flushes."""
+        self.queue(data)
         self.flush()
 
-    def append(self, data: bytes) -> None:
+    def queue(self, data: bytes) -> None:
+        """Queues `data` unless the connection has ended; a flush() must follow."""
         if self.end is None:
             self.outgoing.append(data)
 
     def flush(self) -> None:
-        """Writes what the socket takes at once; only a slow reader costs a greenlet for the rest."""
-        if self.flushing or not self.outgoing or self.end is not None:
+        """Writes what the socket takes at once; a greenlet writes the rest to a slow reader."""
+        if self.is_flushing or not self.outgoing or self.end is not None:
             return
         try:
             self._write(0.0)
         except BlockingIOError:
-            self.flushing = True
+            self.is_flushing = True
             gevent.spawn(self._flush_rest)
         except OSError as error:
             self.close(of_error(error))
-        if self.over is not None:
-            self.drained.set()
+        if self.read_end is not None:
+            self.write_progress.set()
 
     def _write(self, timeout: float | None) -> None:
         while self.outgoing and self.end is None:
-            count = self._send(self.outgoing.data(), 0, timeout)
-            self.outgoing.skip(count)
-            self.taken += count
+            count = self._send(self.outgoing.readable_view(), 0, timeout)
+            self.outgoing.discard(count)
+            self.bytes_sent += count
 
     def _flush_rest(self) -> None:
         try:
             self._write(None)
         except OSError as error:
             self.close(of_error(error))
-        self.flushing = False
-        self.drained.set()
-
-    def look(self, passed: float) -> None:
-        """Guards against readers that stall for good, against a frame that never ends and a connection that
-        never says anything; cheaper than a time-out on every call. Only time in which we ran counts."""
-        if not self.flushing or self.taken != self.taken_seen:
-            self.taken_seen, self.stuck_for = self.taken, 0.0
+        self.is_flushing = False
+        self.write_progress.set()
+
+    def check_timeouts(self, elapsed_ms: float) -> None:
+        """Closes the connection if its reader has stalled or a frame, or the first one, does not complete.
+
+        One call on each sampling tick is cheaper than a time-out on every socket call. `elapsed_ms` counts
+        only time in which this process ran.
+        """
+        if not self.is_flushing or self.bytes_sent != self.bytes_sent_at_last_check:
+            self.bytes_sent_at_last_check = self.bytes_sent
+            self.stalled_ms = 0.0
         else:
-            self.stuck_for += passed
-            if self.stuck_for > STUCK_MS:
+            self.stalled_ms += elapsed_ms
+            if self.stalled_ms > STALLED_LIMIT_MS:
                 self.close(End.STUCK)
-        if self.frames != self.frames_seen or (self.frames and not self.decoder.halfway()):
-            self.frames_seen, self.half_for = self.frames, 0.0
-        elif self.reading:
-            self.half_for += passed
-            if self.half_for > HALF_MS and not (self.open or self.outgoing):
+        has_new_frame = self.frames_received != self.frames_at_last_check
+        if has_new_frame or (self.frames_received and not self.decoder.is_mid_frame()):
+            self.frames_at_last_check = self.frames_received
+            self.incomplete_ms = 0.0
+        elif self.is_reading:
+            self.incomplete_ms += elapsed_ms
+            if self.incomplete_ms > INCOMPLETE_LIMIT_MS and not (self.open_streams or self.outgoing):
                 self.close(End.HALF)
 
-    def _ask_if_there(self) -> None:
-        """After the end of what comes no read tells of a reset any more; the socket itself does."""
+    def _check_peer(self) -> None:
+        """Closes the connection if the caller has reset it.
+
+        After the end of the input no read reports a reset any more; the socket's error option does.
+        """
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             self.close(of_error(OSError(error, "")))
 
     def close(self, end: End) -> None:
-        """Ends it from our side; its reader wakes and tells the others."""
-        self._ended(end)
+        """Closes the socket; the reading greenlet wakes and reports the end."""
+        self._set_end(end)
         self.sock.close()
-        self.drained.set()
+        self.write_progress.set()
 
-    def _ended(self, end: End) -> End:
+    def _set_end(self, end: End) -> None:
+        """Records why the connection ended; the first reason stays."""
         if self.end is None:
             self.end = end
-        return self.end
--- a/myrtlecrank/edge/server.py
+++ b/myrtlecrank/edge/server.py
@@ -13,101 +13,122 @@
 from myrtlecrank.core.actor import Core, now_ms
 from myrtlecrank.core.connection_errors import End
 from myrtlecrank.core.messages import CallersLeft, Ticket
-from myrtlecrank.edge.accept_rate import Accepting, Pace
-from myrtlecrank.edge.caller import Caller
+from myrtlecrank.edge.accept_rate import Accepting, AcceptRateLimiter
+from myrtlecrank.edge.caller import Caller, GroupEntry
 from myrtlecrank.edge.connection import Connection
 from myrtlecrank.frames import codec
 from myrtlecrank.policy.interface import Kind
 
-BACKLOG = 512
-SPARE_SOCKETS = 24  # left for the agent, the list, files of the interpreter: some ten are used
-FULL_S = 0.05  # pause of the listener while there is no descriptor
-PASSED_MS = 200.0  # the most that a look at the connections counts as gone by, were we to stand still
-AWAY_MS = 2000.0  # a caller that does not close a connection it was told to leave is gone itself
+BACKLOG_CONNECTIONS = 512
+RESERVED_SOCKETS = 24  # for the agent, the membership list and the interpreter's files: some ten are used
+NO_DESCRIPTOR_PAUSE_S = 0.05
+MAX_SWEEP_ELAPSED_MS = (
+    200.0  # that one sweep counts as elapsed, so that a pause of this process closes nothing
+)
+GO_AWAY_TIMEOUT_MS = 2000.0  # a caller that has not closed an idle connection by then is considered gone
+# The system's errors when descriptors or socket memory run out.
+OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Front:
+    """Accepts callers' connections, passes their requests to the core and closes what is idle or stuck.
+
+    `sockets` is the limit on descriptors; `spawn` starts the actors of callers.
+    """
+
     def __init__(
         self,
         address: tuple[str, int],
         sockets: int,
         core: Core,
         spawn: Callable[..., object] = gevent.spawn,
-        accepting: Accepting | None = None,
+        accept_rate: Accepting | None = None,
     ) -> None:
-        self.core, self.board, self.spawn = core, core.board, spawn
-        self.most = max(1, sockets - SPARE_SOCKETS)
+        self.core = core
+        self.published_state = core.board
+        self.spawn = spawn
+        self.max_connections = max(1, sockets - RESERVED_SOCKETS)
         facts = core.facts
         self.groups = {
-            group.name: (i, group.timeout, group.kind is Kind.DEDUPLICATED)
-            for i, group in enumerate(facts.groups)
+            group.name: GroupEntry(number, group.timeout, group.kind is Kind.DEDUPLICATED)
+            for number, group in enumerate(facts.groups)
         }
-        self.tenants = {tenant.name: i for i, tenant in enumerate(facts.tenants)}
-        self.give_up = facts.tells_gone
+        self.tenants = {tenant.name: index for index, tenant in enumerate(facts.tenants)}
+        self.allows_abandon = facts.tells_gone
         self.callers: dict[int, Caller] = {}
-        self.connections: dict[Connection, None] = {}  # the one that was idle longest first
+        self.connections: dict[Connection, None] = {}  # least recently used first
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
-        self.listener.listen(BACKLOG)
-        self.rest = BACKLOG + 1  # that the system may hold for us at the end; 0 once all were taken
-        self.swept = now_ms()
-        self.accepting: gevent.greenlet.Greenlet[..., None] | None = None
-        self.pace: Pace | None = None
-        self.adopt(accepting)
+        self.listener.listen(BACKLOG_CONNECTIONS)
+        # Connections that the backlog may still hold when accepting stops; 0 once all are accepted.
+        self.backlog_left = BACKLOG_CONNECTIONS + 1
+        self.swept_at_ms = now_ms()
+        self.accept_loop: gevent.greenlet.Greenlet[..., None] | None = None
+        self.rate_limiter: AcceptRateLimiter | None = None
+        self.adopt(accept_rate)
         core.on_beat.append(self.sweep)
-        core.on_shut.append(self.shut)
+        core.on_shut.append(self.stop_accepting)
 
-    def adopt(self, accepting: Accepting | None) -> None:
-        """The operators set the pace anew; None: connections are accepted as they come."""
-        self.pace = None if accepting is None else Pace(accepting, now_ms())
+    def adopt(self, accept_rate: Accepting | None) -> None:
+        """Applies new options of the accept rate; with None connections are accepted as they come."""
+        self.rate_limiter = None if accept_rate is None else AcceptRateLimiter(accept_rate, now_ms())
 
     def run(self) -> None:
-        """Accepts until the notice to leave."""
-        self.accepting = gevent.spawn(self._accept)
-        self.accepting.join()
-        self.accepting.get()
+        """Accepts connections until the published state says that nothing new would run any more."""
+        self.accept_loop = gevent.spawn(self._accept)
+        self.accept_loop.join()
+        self.accept_loop.get()
 
     def _accept(self) -> None:
-        while not self.board.shut:
+        while not self.published_state.shut:
             try:
                 socket.wait_read(self.listener.fileno())
-                if len(self.connections) >= self.most and not self.make_room():
-                    gevent.sleep(FULL_S)
+                if len(self.connections) >= self.max_connections and not self.make_room():
+                    gevent.sleep(NO_DESCRIPTOR_PAUSE_S)
                     continue
-                wait = 0.0 if self.pace is None else self.pace.wait(self.board.warmth, now_ms())
-                if wait > 0.0:
-                    gevent.sleep(wait / 1000.0)
+                wait_ms = 0.0
+                if self.rate_limiter is not None:
+                    wait_ms = self.rate_limiter.acquire(self.published_state.warmth, now_ms())
+                if wait_ms > 0.0:
+                    gevent.sleep(wait_ms / 1000.0)
                     continue
                 sock, _ = self.listener.accept()
             except OSError as error:
-                if self.board.shut or error.errno == errno.EBADF:
+                if self.published_state.shut or error.errno == errno.EBADF:
                     return
-                if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
+                if error.errno in OUT_OF_DESCRIPTORS:
                     logger.warning("no descriptor for a new connection")
-                gevent.sleep(FULL_S)
+                gevent.sleep(NO_DESCRIPTOR_PAUSE_S)
                 continue
-            self.accept(sock)
+            self.add_connection(sock)
 
     def make_room(self) -> bool:
-        """Guards against floods of connections that bring nothing: the one that was idle longest goes, so
-        that health checks and exchanges still find a place; where none is idle, one that never brought a
-        whole frame. A caller whose first frame is cut off by that knows that nothing of it ran."""
-        quiet = [c for c in self.connections if not c.busy()]
-        gone = next((c for c in quiet if c.over is not None), None)  # only taken off by now: nothing is lost
-        gone = gone or next((c for c in quiet if c.silent()), None)
-        gone = gone or next((c for c in quiet if not c.frames), None)
-        if gone is not None:
-            gone.close(End.LEFT)
-            del self.connections[gone]
-        return gone is not None
-
-    def accept(self, sock: socket.socket) -> Connection:
-        # Guards the listener: one that is gone by now may take no option, and ends with its first read.
+        """Closes one connection without pending answers, so that health checks and exchanges still get in.
+
+        In a flood of connections that send nothing the longest idle one is closed or, where none is idle, one
+        that never sent a whole frame. A caller whose first frame is cut off by that knows that nothing of it
+        ran. Returns whether a connection was closed.
+        """
+        closable = [connection for connection in self.connections if not connection.has_pending_answers()]
+        # Of one on which reading has ended, the rest is only discarded: closing it loses nothing.
+        victim = next((connection for connection in closable if connection.read_end is not None), None)
+        victim = victim or next((connection for connection in closable if connection.has_no_input()), None)
+        victim = victim or next(
+            (connection for connection in closable if not connection.frames_received), None
+        )
+        if victim is not None:
+            victim.close(End.LEFT)
+            del self.connections[victim]
+        return victim is not None
+
+    def add_connection(self, sock: socket.socket) -> Connection:
+        """Starts to serve an accepted connection."""
+        # A socket that the caller closed meanwhile may refuse the option; its first read ends it.
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = Connection(sock, self.board, self.asked, self.give_up)
-        connection.last_used = now_ms()
+        connection = Connection(sock, self.published_state, self.handle_frame, self.allows_abandon)
+        connection.last_used_ms = now_ms()
         self.connections[connection] = None
         gevent.spawn(self._serve, connection)
         return connection
@@ -118,44 +139,58 @@
         except Exception:
             logger.exception("a connection failed")
         connection.close(End.BROKEN)
-        self.ended(connection)
+        self.remove_connection(connection)
 
-    def asked(self, connection: Connection, ask: codec.Ask | codec.GivenUp) -> None:
+    def handle_frame(self, connection: Connection, frame: codec.Request | codec.Abandoned) -> None:
+        """Passes a frame to the actor of its caller, which is started with the caller's first request."""
         if connection.end is not None:
             return
-        if isinstance(ask, codec.GivenUp):
-            self.given_up(connection, ask.stream)
+        if isinstance(frame, codec.Abandoned):
+            self.abandon(connection, frame.stream)
             return
-        connection.last_used = now_ms()
+        connection.last_used_ms = now_ms()
         del self.connections[connection]
         self.connections[connection] = None
         if connection.caller is None:
-            connection.caller = ask.caller
-            caller = self.callers.get(ask.caller)
+            connection.caller = frame.caller
+            caller = self.callers.get(frame.caller)
             if caller is None:
-                caller = self.callers[ask.caller] = Caller(
-                    self.groups, self.tenants, self.core.facts.tells_left, self.board, self.core.mailbox.put
+                caller = self.callers[frame.caller] = Caller(
+                    self.groups,
+                    self.tenants,
+                    self.core.facts.tells_left,
+                    self.published_state,
+                    self.core.mailbox.put,
                 )
                 self.spawn(caller.run)
             caller.connections += 1
-        self.callers[connection.caller].asked(connection, ask)
+        self.callers[connection.caller].handle_request(connection, frame)
+
+    def abandon(self, connection: Connection, stream: int) -> None:
+        """Ends one exchange that its caller abandoned; the connection goes on.
 
-    def given_up(self, connection: Connection, stream: int) -> None:
-        """One exchange of a connection that goes on. It gets its final answer at once, as if it crossed this
-        on its way; where that has gone out already there is nothing to do."""
-        ticket = connection.open.get(stream)
+        The exchange gets its final answer at once, as if that had crossed the caller's frame. If the answer
+        has gone out already there is nothing to do.
+        """
+        ticket = connection.open_streams.get(stream)
         if ticket is not None:
-            connection.answered(stream, codec.answer(stream, codec.TERMINATED, self.board.value))
+            answer = codec.encode_answer(stream, codec.TERMINATED, self.published_state.value)
+            connection.queue_answer(stream, answer)
             self.core.mailbox.put(CallersLeft([ticket]))
 
-    def ended(self, connection: Connection) -> None:
-        """Tells the module who has left, and lets the actor of a caller go with its last connection."""
+    def remove_connection(self, connection: Connection) -> None:
+        """Reports the open exchanges of an ended connection to the core.
+
+        The actor of a caller ends with the caller's last connection.
+        """
         self.connections.pop(connection, None)
-        left: list[Ticket] = [ticket for ticket in connection.open.values() if ticket is not None]
-        connection.open.clear()
-        if left:
-            logger.info("a connection {} with {} open", (connection.end or End.LEFT).value, len(left))
-            self.core.mailbox.put(CallersLeft(left))
+        unanswered: list[Ticket] = [
+            ticket for ticket in connection.open_streams.values() if ticket is not None
+        ]
+        connection.open_streams.clear()
+        if unanswered:
+            logger.info("a connection {} with {} open", (connection.end or End.LEFT).value, len(unanswered))
+            self.core.mailbox.put(CallersLeft(unanswered))
         if connection.caller is not None:
             caller = self.callers[connection.caller]
             caller.connections -= 1
@@ -164,77 +199,84 @@
                 caller.mailbox.post(None)
 
     def sweep(self, now: float) -> None:
-        """Closes what is stuck or never whole, and asks callers to close what idles longer than the module
-        allows."""
-        if self.pace is not None:
-            self._pace(self.pace)
-        passed, self.swept = min(PASSED_MS, max(0.0, now - self.swept)), now
+        """Closes connections that are stuck, and asks callers to close those that are idle for too long."""
+        if self.rate_limiter is not None:
+            self._adjust_accept_rate(self.rate_limiter)
+        elapsed_ms = min(MAX_SWEEP_ELAPSED_MS, max(0.0, now - self.swept_at_ms))
+        self.swept_at_ms = now
         for connection in list(self.connections):
-            connection.look(passed)
-            idle = now - connection.last_used
-            if self.board.idle <= 0 or idle <= self.board.idle or connection.busy():
+            connection.check_timeouts(elapsed_ms)
+            idle_ms = now - connection.last_used_ms
+            idle_limit_ms = self.published_state.idle
+            if idle_limit_ms <= 0 or idle_ms <= idle_limit_ms or connection.has_pending_answers():
                 continue
-            if connection.away_at is None:
-                connection.tell_away(now)
-            elif now - connection.away_at > AWAY_MS and connection.silent():
+            if connection.go_away_sent_at_ms is None:
+                connection.send_go_away(now)
+            elif now - connection.go_away_sent_at_ms > GO_AWAY_TIMEOUT_MS and connection.has_no_input():
                 connection.close(End.LEFT)
 
-    def _pace(self, pace: Pace) -> None:
-        pace.beat(self.board.late)
-        held, pace.held_back = pace.held_back, 0
-        if held:
+    def _adjust_accept_rate(self, rate_limiter: AcceptRateLimiter) -> None:
+        rate_limiter.adjust(self.published_state.late)
+        delayed_connections, rate_limiter.delayed_connections = rate_limiter.delayed_connections, 0
+        if delayed_connections:
             logger.info(
                 "connections come faster than they are accepted: {} a second at the most",
-                round(pace.per_second(self.board.warmth)),
+                round(rate_limiter.rate_per_second(self.published_state.warmth)),
             )
 
     def emptied(self) -> bool:
-        """Whether no caller is left, nor any that waits to be accepted."""
-        return not (self.rest or self.connections)
+        """Whether no connection is left, nor any in the backlog that waits to be accepted."""
+        return not (self.backlog_left or self.connections)
 
     def last_words(self) -> None:
-        """The process ends: the last answers go out, and no byte that lies unread turns its end into a reset
-        that destroys them. Each connection ends here and now: the process takes longer to end, and what is
-        written until then would find a connection that stands and nobody who reads it."""
+        """Sends the last answers and closes all connections, just before the process ends.
+
+        Unread bytes are read off first: they would turn the close into a reset that destroys the answers. The
+        connections are closed here because the process takes some time to end, and a caller that writes
+        meanwhile would find an open connection that nobody reads.
+        """
         for caller in list(self.callers.values()):
-            caller.last_words()
+            caller.deliver_pending()
         for connection in list(self.connections):
             connection.flush()
-            connection.take_off()
+            connection.discard_unread()
             connection.close(End.LEFT)
 
-    def shut(self) -> None:
-        """No new connection, and no new exchange on those that stand. What the machine has accepted already
-        is ours: it is taken off the listener before that closes, lest it be reset."""
-        if self.accepting is not None:
-            self.accepting.kill(block=False)
+    def stop_accepting(self) -> None:
+        """Closes the listener and asks for no new exchange on the open connections.
+
+        Connections in the backlog are accepted before the listener closes, which would reset them.
+        """
+        if self.accept_loop is not None:
+            self.accept_loop.kill(block=False)
         self.listener.settimeout(0.0)
         now = now_ms()
         for connection in self.connections:
-            connection.tell_away(now)
-        if not self._take_rest():
-            self.spawn(self._take_rest_in_turn)
-
-    def _take_rest(self) -> bool:
-        """As many as there are descriptors for, each told at once to bring no more. Whether these were all
-        that the system held; the listener is closed then."""
-        while self.rest and len(self.connections) < self.most:
-            self.rest -= 1
+            connection.send_go_away(now)
+        if not self._accept_backlog():
+            self.spawn(self._accept_backlog_in_turns)
+
+    def _accept_backlog(self) -> bool:
+        """Accepts as many connections as there are descriptors for and asks each to send nothing new.
+
+        Returns whether these were all that the backlog held; the listener is closed then.
+        """
+        while self.backlog_left and len(self.connections) < self.max_connections:
+            self.backlog_left -= 1
             try:
-                self.accept(self.listener.accept()[0]).tell_away(now_ms())
+                self.add_connection(self.listener.accept()[0]).send_go_away(now_ms())
             except ConnectionAbortedError:
-                continue  # this one is gone; those behind it are not
+                continue  # the connections behind an aborted one are still there
             except OSError:
-                self.rest = 0
-        if not self.rest:
+                self.backlog_left = 0
+        if not self.backlog_left:
             self.listener.close()
-        return not self.rest
-
-    def _take_rest_in_turn(self) -> None:
-        """Guards the limit of descriptors against a crowd that waits at the listener when it is to close: the
-        others come in as those before them go."""
-        while not self._take_rest():
-            gevent.sleep(0)  # the readers of those just accepted, before any of them may have to make room
-            if len(self.connections) >= self.most and not self.make_room():
-                gevent.sleep(FULL_S)
-            gevent.sleep(0)  # closed ones hold their descriptors until the loop has had its turn
+        return not self.backlog_left
+
+    def _accept_backlog_in_turns(self) -> None:
+        """Accepts the rest of a backlog above the limit of descriptors as earlier connections close."""
+        while not self._accept_backlog():
+            gevent.sleep(0)  # new connections are read before any of them may have to make room
+            if len(self.connections) >= self.max_connections and not self.make_room():
+                gevent.sleep(NO_DESCRIPTOR_PAUSE_S)
+            gevent.sleep(0)  # closed connections keep their descriptors until the event loop has had its turn
--- a/myrtlecrank/frames/__init__.py
+++ b/myrtlecrank/frames/__init__.py
@@ -1,1 +1,1 @@
-"""The edge protocol: bytes in, typed frames out. No sockets, no decisions."""
+"""The edge protocol: turns bytes into typed frames and back, without sockets or decisions."""
--- a/myrtlecrank/frames/codec.py
+++ b/myrtlecrank/frames/codec.py
@@ -8,266 +8,317 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from myrtlecrank.frames.ring_buffer import Ring
-
-HEAD = struct.Struct("<IBI")
-SHORTEST, LONGEST = 5, 262_144
-KEPT = 16_384  # longer frames are legal, but no exchange that can be run needs them
-BODY, RESULT = 2048, 4096
-IDENT = re.compile(rb"[0-9a-fA-F]{16}")
-WHOLE, PLAIN = re.compile(rb"[0-9]{1,15}"), re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
-LONGEST_KEY = 256
-OPEN_STREAMS = 32  # exchanges that one connection may carry at a time
-ASK, ANSWER, GIVE_UP, CHECK, CHECKED, AWAY = 10, 11, 12, 20, 21, 30
-COMPLETED, DENIED, TERMINATED = 0, 1, 2
-GOOD, BAD = 0, 1
+from myrtlecrank.frames.ring_buffer import RingBuffer
+
+HEADER = struct.Struct("<IBI")
+LENGTH_BYTES = 4  # the length field, which doesn't count itself
+MIN_LENGTH_BYTES = 5  # type and stream
+MAX_LENGTH_BYTES = 262_144
+MAX_BUFFERED_LENGTH_BYTES = 16_384  # longer frames are legal, but no exchange that can be run needs them
+MAX_REQUEST_BODY_BYTES = 2048
+MAX_RESULT_BYTES = 4096
+MAX_KEY_BYTES = 256
+MAX_OPEN_STREAMS = 32  # exchanges that one connection may carry at a time
+
+IDENT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,15}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
+
+# A number in a field must be less than its limit.
+UNIX_MS_LIMIT = 1e15
+CALLER_ID_LIMIT = 2.0**32
+WAIT_LIMIT_MS = 1e9
+MEMORY_LIMIT_KB = 2000.0
+RANK_LIMIT = 1.0
+
+# Frame types.
+REQUEST = 10
+ANSWER = 11
+ABANDON = 12
+HEALTH_CHECK = 20
+HEALTH_STATUS = 21
+GO_AWAY = 30
+
+# Verdicts, the first byte of an answer.
+COMPLETED = 0
+DENIED = 1
+TERMINATED = 2
+
+# The first byte of a health status.
+HEALTHY = 0
+UNHEALTHY = 1
+
+CACHED_ANSWER_PREFIXES = 16
 
 
 @dataclass(slots=True)
-class Ask:
+class Request:
     """An exchange as a caller sends it."""
 
     stream: int
     group: str
     ident: str
-    reached: float  # Unix ms at which it came to the machine
+    arrived_at_ms: float  # Unix time at which it reached the machine
     caller: int
     tenant: str | None
-    wait: float | None  # how long its caller waits, from then on
-    kb: float
+    wait_ms: float | None  # how long its caller waits for the answer from then on
+    memory_kb: float
     rank: float
-    about: str | None
+    subject: str | None  # what a read is about
     key: str | None  # the same for every try of a deduplicated exchange
     body: bytes
 
 
 @dataclass(slots=True)
-class Check:
+class HealthCheck:
     """A health check."""
 
     stream: int
 
 
 @dataclass(slots=True)
-class GivenUp:
-    """Its caller waits for this exchange no longer."""
+class Abandoned:
+    """The caller no longer waits for this exchange."""
 
     stream: int
 
 
 @dataclass(slots=True)
-class Spoiled:
+class InvalidRequest:
     """An exchange that cannot be read; the frames after it can."""
 
     stream: int
-    why: str
+    reason: str
 
 
-Frame = Ask | GivenUp | Check | Spoiled
+Frame = Request | Abandoned | HealthCheck | InvalidRequest
 
 
-class Broken(Exception):
-    """What came is no frame: nothing more can be read on this connection."""
+class ProtocolError(Exception):
+    """The bytes are not a frame; nothing more can be read on this connection."""
 
 
-class _Unfit(Exception):
+class _InvalidPayload(Exception):
     pass
 
 
 class Decoder:
-    """Takes whole frames off a ring."""
+    """Takes whole frames off a ring buffer."""
 
-    def __init__(self, ring: Ring, give_up: bool = False) -> None:
-        self.ring = ring
-        self.kinds = (ASK, CHECK, GIVE_UP) if give_up else (ASK, CHECK)
-        self.skip = 0  # bytes of a frame too long to be kept that are still to come
+    def __init__(self, buffer: RingBuffer, allows_abandon: bool = False) -> None:
+        self.buffer = buffer
+        self.allowed_types = (REQUEST, HEALTH_CHECK, ABANDON) if allows_abandon else (REQUEST, HEALTH_CHECK)
+        self.bytes_to_skip = 0  # the part of an overlong frame that has not arrived yet
 
     def frames(self) -> Iterator[Frame]:
-        """The frames that have come; raises Broken where the bytes are none."""
-        ring = self.ring
-        if self.skip:
-            passed = min(self.skip, len(ring))
-            ring.skip(passed)
-            self.skip -= passed
-        raw, at = ring.peek(len(ring)), 0  # all that is there is copied once, however many frames it holds
+        """Yields the frames that have arrived whole. Raises ProtocolError where the bytes are not a frame."""
+        buffer = self.buffer
+        if self.bytes_to_skip:
+            skipped = min(self.bytes_to_skip, len(buffer))
+            buffer.discard(skipped)
+            self.bytes_to_skip -= skipped
+        raw, at = buffer.peek(len(buffer)), 0  # one copy, however many frames the buffer holds
         try:
-            while len(raw) - at >= HEAD.size:
-                length, kind, stream = HEAD.unpack_from(raw, at)
-                _length(length)
-                _known(kind, stream, self.kinds)
-                end = at + 4 + length
-                if length > KEPT:
-                    # Guards against many connections that each bring the longest frame, for want of memory.
-                    if kind != ASK:
-                        raise Broken(f"a frame of type {kind} of {length} bytes")
-                    self.skip = max(0, end - len(raw))
+            while len(raw) - at >= HEADER.size:
+                length, kind, stream = HEADER.unpack_from(raw, at)
+                _check_length(length)
+                _check_type(kind, stream, self.allowed_types)
+                end = at + LENGTH_BYTES + length
+                if length > MAX_BUFFERED_LENGTH_BYTES:
+                    # Overlong frames are skipped as they arrive: many connections that each send the longest
+                    # frame would exhaust the memory.
+                    if kind != REQUEST:
+                        raise ProtocolError(f"a frame of type {kind} of {length} bytes")
+                    self.bytes_to_skip = max(0, end - len(raw))
                     at = min(end, len(raw))
-                    yield Spoiled(stream, f"a frame of {length} bytes")
+                    yield InvalidRequest(stream, f"a frame of {length} bytes")
                     continue
                 if end > len(raw):
                     return
                 frame = raw[at:end]
                 at = end
-                if kind == GIVE_UP:
-                    yield GivenUp(stream)
+                if kind == ABANDON:
+                    yield Abandoned(stream)
+                elif kind == HEALTH_CHECK:
+                    yield _decode_health_check(stream, frame)
                 else:
-                    yield _check(stream, frame) if kind == CHECK else _ask(stream, frame)
-            if len(raw) - at >= 4:
-                _length(int.from_bytes(raw[at : at + 4], "little"))
+                    yield _decode_request(stream, frame)
+            if len(raw) - at >= LENGTH_BYTES:
+                _check_length(int.from_bytes(raw[at : at + LENGTH_BYTES], "little"))
         finally:
-            ring.skip(at)
+            buffer.discard(at)
+
+    def is_mid_frame(self) -> bool:
+        """Whether a frame has begun to arrive and is not complete."""
+        return self.bytes_to_skip > 0 or len(self.buffer) > 0
 
-    def halfway(self) -> bool:
-        """Whether a frame has begun and not ended."""
-        return self.skip > 0 or len(self.ring) > 0
 
+def _check_length(length: int) -> None:
+    if not MIN_LENGTH_BYTES <= length <= MAX_LENGTH_BYTES:
+        raise ProtocolError(f"a frame of length {length}, expected {MIN_LENGTH_BYTES} to {MAX_LENGTH_BYTES}")
 
-def _length(length: int) -> None:
-    if not SHORTEST <= length <= LONGEST:
-        raise Broken(f"a frame of length {length}")
 
+def _check_type(kind: int, stream: int, allowed_types: tuple[int, ...]) -> None:
+    if kind not in allowed_types:
+        raise ProtocolError(f"a frame of unexpected type {kind}")
+    if kind == REQUEST and stream == 0:
+        raise ProtocolError("an exchange on stream 0")
 
-def _known(kind: int, stream: int, kinds: tuple[int, ...]) -> None:
-    if kind not in kinds:
-        raise Broken(f"a frame of type {kind}")
-    if kind == ASK and stream == 0:
-        raise Broken("an exchange on stream 0")
 
+Fields = dict[bytes, bytes]
 
-def _fields(raw: bytes) -> tuple[dict[bytes, bytes], int]:
-    """The fields of a frame and where they end."""
-    values: dict[bytes, bytes] = {}
-    at = HEAD.size + 1
+
+def _decode_fields(raw: bytes) -> tuple[Fields, int]:
+    """Returns the fields of a frame and the offset at which they end."""
+    fields: Fields = {}
+    at = HEADER.size + 1
     try:
         count = raw[at - 1]
         for _ in range(count):
-            split = at + 1 + raw[at]
-            end = split + 2 + (raw[split] | raw[split + 1] << 8)
-            values[raw[at + 1 : split]] = raw[split + 2 : end]
-            at = end
+            name_end = at + 1 + raw[at]
+            value_end = name_end + 2 + (raw[name_end] | raw[name_end + 1] << 8)
+            fields[raw[at + 1 : name_end]] = raw[name_end + 2 : value_end]
+            at = value_end
     except IndexError:
         at = len(raw) + 1
     if at > len(raw):
-        raise _Unfit("fields longer than the frame")
-    if len(values) != count:
-        raise _Unfit("a field twice")
-    if not raw[HEAD.size : at].isascii():
+        raise _InvalidPayload("fields longer than the frame")
+    if len(fields) != count:
+        raise _InvalidPayload("a field twice")
+    if not raw[HEADER.size : at].isascii():
         try:
-            for text in (*values.keys(), *values.values()):
+            for text in (*fields.keys(), *fields.values()):
                 text.decode()
         except UnicodeDecodeError:
-            raise _Unfit("a field that is no text") from None
-    return values, at
+            raise _InvalidPayload("a field that is not UTF-8 text") from None
+    return fields, at
 
 
-def _check(stream: int, raw: bytes) -> Check:
+def _decode_health_check(stream: int, raw: bytes) -> HealthCheck:
     try:
-        _fields(raw)
-    except _Unfit as error:
-        raise Broken(f"a health check with {error}") from None
-    return Check(stream)
-
+        _decode_fields(raw)
+    except _InvalidPayload as error:
+        raise ProtocolError(f"a health check with {error}") from None
+    return HealthCheck(stream)
 
-Values = dict[bytes, bytes]
 
-
-def _number(
-    values: Values, name: bytes, shape: re.Pattern[bytes], top: float, default: float | None = None
+def _number_field(
+    fields: Fields, name: bytes, pattern: re.Pattern[bytes], limit: float, default: float | None = None
 ) -> float:
-    """A field in its plain spelling, under `top`: no sign, no exponent, no blank, no `nan`."""
-    text = values.get(name)
+    """Returns a number in its plain spelling that is less than `limit`.
+
+    Signs, exponents, blanks and `nan` are refused.
+    """
+    text = fields.get(name)
     if text is None:
         if default is None:
-            raise _Unfit(f"no field {name.decode()!r}")
+            raise _InvalidPayload(f"no field {name.decode()!r}")
         return default
-    number = float(text) if shape.fullmatch(text) else top
-    if number >= top:
-        raise _Unfit(f"the field {name.decode()!r} that reads {text[:40]!r}")
+    number = float(text) if pattern.fullmatch(text) else limit
+    if number >= limit:
+        raise _InvalidPayload(f"the field {name.decode()!r} that reads {text[:40]!r}")
     return number
 
 
-def _ask(stream: int, raw: bytes) -> Ask | Spoiled:
+def _decode_request(stream: int, raw: bytes) -> Request | InvalidRequest:
     try:
-        values, at = _fields(raw)
-        ident = values.get(b"i", b"")
-        if not IDENT.fullmatch(ident):
-            raise _Unfit(f"the field 'i' that reads {ident[:40]!r}")
-        if b"c" not in values:
-            raise _Unfit("no field 'c'")
-        if len(raw) - at > BODY:
-            raise _Unfit(f"a body of {len(raw) - at} bytes")
-        kb = _number(values, b"m", PLAIN, 2000.0)
-        if kb == 0.0:
-            raise _Unfit("no memory that is booked for it")
-        tenant, about, key = values.get(b"t"), values.get(b"o"), values.get(b"k")
-        if len(key or b"") > LONGEST_KEY:
-            raise _Unfit("a key that is too long")
-        return Ask(
+        fields, at = _decode_fields(raw)
+        ident = fields.get(b"i", b"")
+        if not IDENT_PATTERN.fullmatch(ident):
+            raise _InvalidPayload(f"the field 'i' that reads {ident[:40]!r}, expected 16 hex digits")
+        if b"c" not in fields:
+            raise _InvalidPayload("no field 'c'")
+        if len(raw) - at > MAX_REQUEST_BODY_BYTES:
+            raise _InvalidPayload(
+                f"a body of {len(raw) - at} bytes, expected at most {MAX_REQUEST_BODY_BYTES}"
+            )
+        memory_kb = _number_field(fields, b"m", DECIMAL_PATTERN, MEMORY_LIMIT_KB)
+        if memory_kb == 0.0:
+            raise _InvalidPayload("a memory size of 0 KB in the field 'm'")
+        tenant, subject, key = fields.get(b"t"), fields.get(b"o"), fields.get(b"k")
+        if len(key or b"") > MAX_KEY_BYTES:
+            raise _InvalidPayload(f"a key of {len(key or b'')} bytes, expected at most {MAX_KEY_BYTES}")
+        return Request(
             stream,
-            group=values[b"c"].decode(),
+            group=fields[b"c"].decode(),
             ident=ident.decode(),
-            reached=_number(values, b"s", WHOLE, 1e15),
-            caller=int(_number(values, b"f", WHOLE, 2.0**32)),
+            arrived_at_ms=_number_field(fields, b"s", INTEGER_PATTERN, UNIX_MS_LIMIT),
+            caller=int(_number_field(fields, b"f", INTEGER_PATTERN, CALLER_ID_LIMIT)),
             tenant=None if tenant is None else tenant.decode(),
-            wait=_number(values, b"d", PLAIN, 1e9) if b"d" in values else None,
-            kb=kb,
-            rank=_number(values, b"p", PLAIN, 1.0, 0.0),
-            about=None if about is None else about.decode(),
+            wait_ms=_number_field(fields, b"d", DECIMAL_PATTERN, WAIT_LIMIT_MS) if b"d" in fields else None,
+            memory_kb=memory_kb,
+            rank=_number_field(fields, b"p", DECIMAL_PATTERN, RANK_LIMIT, 0.0),
+            subject=None if subject is None else subject.decode(),
             key=None if key is None else key.decode(),
             body=raw[at:],
         )
-    except _Unfit as error:
-        return Spoiled(stream, str(error))
+    except _InvalidPayload as error:
+        return InvalidRequest(stream, str(error))
 
 
-def framed(kind: int, stream: int, payload: bytes) -> bytes:
-    return HEAD.pack(5 + len(payload), kind, stream) + payload
+def encode_frame(kind: int, stream: int, payload: bytes) -> bytes:
+    """Returns a frame with its header."""
+    return HEADER.pack(MIN_LENGTH_BYTES + len(payload), kind, stream) + payload
 
 
-def _packed(fields: dict[str, str]) -> bytes:
-    out = bytearray([len(fields)])
+def _encode_fields(fields: dict[str, str]) -> bytes:
+    encoded = bytearray([len(fields)])
     for name, value in fields.items():
-        out.append(len(name))
-        out += name.encode() + len(value).to_bytes(2, "little") + value.encode()
-    return bytes(out)
+        encoded.append(len(name))
+        encoded += name.encode() + len(value).to_bytes(2, "little") + value.encode()
+    return bytes(encoded)
 
 
-def _figure(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:.4f}".rstrip("0").rstrip(".")
 
 
-def _said(value: float | None) -> dict[str, str]:
-    return {} if value is None else {"v": _figure(value)}
+def _value_fields(published_value: float | None) -> dict[str, str]:
+    return {} if published_value is None else {"v": _format_number(published_value)}
 
 
-@lru_cache(16)
-def _head(code: int, said: float | None) -> bytes:
-    """How most answers begin: the value changes only now and then."""
-    return bytes([code]) + _packed(_said(said))
+@lru_cache(CACHED_ANSWER_PREFIXES)
+def _answer_prefix(code: int, published_value: float | None) -> bytes:
+    """Returns how most answers begin; it is cached, as the published value changes only now and then."""
+    return bytes([code]) + _encode_fields(_value_fields(published_value))
 
 
-def answer(
-    stream: int, code: int, said: float | None, wait: float = 0.0, last: bool = False, body: bytes = b""
+def encode_answer(
+    stream: int,
+    code: int,
+    published_value: float | None,
+    wait_ms: float = 0.0,
+    is_last: bool = False,
+    body: bytes = b"",
 ) -> bytes:
+    """Returns the final answer to an exchange.
+
+    `wait_ms` (how long the caller stays away) and `is_last` (it tries no other backend) are sent only with a
+    denial.
+    """
     if code != DENIED:
-        return framed(ANSWER, stream, _head(code, said) + body)
-    fields = _said(said)
-    if wait > 0:
-        fields["w"] = str(max(1, round(wait)))
-    if last:
+        return encode_frame(ANSWER, stream, _answer_prefix(code, published_value) + body)
+    fields = _value_fields(published_value)
+    if wait_ms > 0:
+        fields["w"] = str(max(1, round(wait_ms)))
+    if is_last:
         fields["l"] = "1"
-    return framed(ANSWER, stream, bytes([code]) + _packed(fields) + body)
+    return encode_frame(ANSWER, stream, bytes([code]) + _encode_fields(fields) + body)
 
 
-def checked(stream: int, well: bool, said: float | None) -> bytes:
-    return framed(CHECKED, stream, bytes([GOOD if well else BAD]) + _packed(_said(said)))
+def encode_health_status(stream: int, is_healthy: bool, published_value: float | None) -> bytes:
+    """Returns the reply to a health check."""
+    status = HEALTHY if is_healthy else UNHEALTHY
+    return encode_frame(
+        HEALTH_STATUS, stream, bytes([status]) + _encode_fields(_value_fields(published_value))
+    )
 
 
-def error(said: float | None) -> bytes:
-    """Tells of something wrong that belongs to no exchange."""
-    return answer(0, TERMINATED, said)
+def encode_connection_error(published_value: float | None) -> bytes:
+    """Returns the report of an error that belongs to no exchange."""
+    return encode_answer(0, TERMINATED, published_value)
 
 
-def away() -> bytes:
-    """No new exchange on this connection."""
-    return framed(AWAY, 0, b"")
+def encode_go_away() -> bytes:
+    """Returns the request to send no new exchange on this connection."""
+    return encode_frame(GO_AWAY, 0, b"")
--- a/myrtlecrank/membership_list/client.py
+++ b/myrtlecrank/membership_list/client.py
@@ -11,7 +11,7 @@
 
 from myrtlecrank.core.connection_errors import End, of_error
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 
 EVERY_MS, AGAIN_MS = 800.0, 200.0  # an entry lapses 3 s after its last report
 CALL_S = 1.0
@@ -102,18 +102,18 @@
                 sock = self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 sock.connect(self.address)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            outgoing, incoming = Ring(), Ring()
+            outgoing, incoming = RingBuffer(), RingBuffer()
             outgoing.append(head.encode() + body)
             while outgoing:
-                outgoing.skip(sock.send(outgoing.data()))
+                outgoing.discard(sock.send(outgoing.readable_view()))
             self.sent = True
             while not reply.whole:
-                count = sock.recv_into(incoming.room())
+                count = sock.recv_into(incoming.writable_view())
                 if not count:
                     self._close()
                     return End.CLOSED
-                incoming.wrote(count)
-                reply.parser.feed_data(incoming.take(count))
+                incoming.mark_written(count)
+                reply.parser.feed_data(incoming.read(count))
             if not reply.parser.should_keep_alive():
                 self._close()
             return None if reply.status == 204 else End.BROKEN
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -102,4 +102,4 @@
     for name, value in rows:
         text = value.encode("utf-8", "surrogateescape")
         payload += bytes([len(name)]) + name.encode() + len(text).to_bytes(2, "little") + text
-    return codec.framed(codec.ASK, stream, payload + body)
+    return codec.encode_frame(codec.REQUEST, stream, payload + body)
--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -13,7 +13,7 @@
 from myrtlecrank.core.connection_errors import End
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.messages import Freeze, Greeted, Launch, Parted, RunEnded, Sample, Sampled, Unsent
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Gauges, Outcome
 
 RESULT = b"a\r\noutcome 9 ff PASS 1 0\r\n"
@@ -29,7 +29,7 @@
 def heard(*pieces: bytes) -> list[Any]:
     told: list[Any] = []
     link = Link(("127.0.0.1", 1), ["cpu", "on_cores", "memory", "connections"], told.append)
-    ring = Ring()
+    ring = RingBuffer()
     for piece in pieces:
         ring.append(piece)
         for notice in codec.notices(ring):
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -35,7 +35,7 @@
 )
 from myrtlecrank.dependency import codec
 from myrtlecrank.dependency.client import OVERDUE_BEATS, BelowLink
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Below, Gauges, Kind, Outcome
 
 FORGED = b"x\r\noutcome 9 ff PASS 1 0\r\n\r\nrequest 10 ee 1\r\nq"
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("step", [1, 13, 4096])
 def test_a_body_that_reads_like_notices_is_passed_over_whole(step: int) -> None:
     raw = b"request 3 aa %d\r\n%b\r\noutcome 4 aa PASS 5 1\r\nr\r\n" % (len(FORGED), FORGED)
-    ring, told = Ring(), []
+    ring, told = RingBuffer(), []
     for at in range(0, len(raw), step):
         ring.append(raw[at : at + step])
         told += list(notices(ring))
@@ -57,7 +57,7 @@
     assert codec.command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
     assert codec.command(Abandon("aa")) == b"UNOP aa\r\n"
     assert command(Deliver("aa", b"x\r\n")) + command(Forgo("aa")) == b"deliver aa 3\r\nx\r\n\r\nforgo aa\r\n"
-    ring = Ring()
+    ring = RingBuffer()
     ring.append(b"aa DONE 3\r\nx\r\n\r\nbb WAIT 30\r\ncc ERROR\r\ndd PAST\r\nee EMPTY\r\nff DONE 9\r\nshort")
     assert [(r.ident, r.outcome, r.result) for r in codec.replies(ring)] == [
         ("aa", Outcome.OK, b"x\r\n"),
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -18,14 +18,14 @@
 from myrtlecrank.edge.accept_rate import Accepting
 from myrtlecrank.edge.server import Front
 from myrtlecrank.frames import codec
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.membership_list.client import Roll
 from myrtlecrank.policy.interface import Kind, Tenant
 
 WAIT_S = 10.0
 
 
-class Door:
+class ServerHarness:
     """A front whose module's actor does not run: its mailbox is read by hand."""
 
     def __init__(
@@ -33,20 +33,20 @@
     ) -> None:
         self.play = Play(group(kind), tenants=[Tenant("acme", 1.0, 10.0)], idle=30_000.0, **others)
         self.core = self.play.core
-        self.front = Front(("127.0.0.1", 0), sockets, self.core)
-        self.front.most = most or self.front.most
+        self.server = Front(("127.0.0.1", 0), sockets, self.core)
+        self.server.max_connections = most or self.server.max_connections
 
     def open(self) -> tuple[Any, Any]:
         """Our end of a new connection, and the caller's."""
         ours, theirs = socket.socketpair()
         theirs.settimeout(WAIT_S)
-        connection = self.front.accept(Pair(ours))
+        connection = self.server.add_connection(Pair(ours))
         return connection, theirs
 
-    def look(self, ms: float) -> None:
+    def run_sweeps(self, ms: float) -> None:
         """As many beats as come in that time."""
         for _ in range(round(ms / 100.0)):
-            self.front.sweep(self.front.swept + 100.0)
+            self.server.sweep(self.server.swept_at_ms + 100.0)
 
     def tickets(self, count: int) -> list[Any]:
         found: list[Any] = []
@@ -71,14 +71,14 @@
 
 
 @pytest.fixture
-def door() -> Iterator[Door]:
+def harness() -> Iterator[ServerHarness]:
     with gevent.Timeout(3 * WAIT_S):
-        made = Door()
+        made = ServerHarness()
         yield made
-        made.front.listener.close()
+        made.server.listener.close()
 
 
-def read(sock: Any) -> tuple[int, int, bytes]:
+def read_frame(sock: Any) -> tuple[int, int, bytes]:
     raw = b""
     while len(raw) < 4 or len(raw) < 4 + int.from_bytes(raw[:4], "little"):
         size = 4 + int.from_bytes(raw[:4], "little") - len(raw) if len(raw) >= 4 else 4 - len(raw)
@@ -90,27 +90,27 @@
     return kind, stream, raw[9:]
 
 
-def test_answers_go_to_their_streams_in_any_order(door: Door) -> None:
-    _, sock = door.open()
+def test_answers_go_to_their_streams_in_any_order(harness: ServerHarness) -> None:
+    _, sock = harness.open()
     sock.sendall(b"".join(ask_bytes(stream) for stream in range(1, 33)))
-    tickets = door.tickets(32)
+    tickets = harness.tickets(32)
     assert all(t.kb == 24.5 and t.wait == 480.0 and t.body == b"body" and t.caller == 4 for t in tickets)
-    door.core.board.value = 2.0
+    harness.core.board.value = 2.0
     for ticket in reversed(tickets):
         ticket.answer(Answer(ticket, Verdict.COMPLETED, ticket.ident.encode()))
-    seen = [read(sock) for _ in tickets]
+    seen = [read_frame(sock) for _ in tickets]
     assert [stream for _, stream, _ in seen] == list(range(32, 0, -1))
     assert all(body == b"\0\x01\x01v\x01\x002%016x" % stream for _, stream, body in seen)
 
 
-def test_a_health_check_hears_health_and_value(door: Door) -> None:
-    _, sock = door.open()
-    check = codec.framed(codec.CHECK, 3, b"\0")
+def test_a_health_check_hears_health_and_value(harness: ServerHarness) -> None:
+    _, sock = harness.open()
+    check = codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0")
     sock.sendall(check)
-    assert read(sock) == (codec.CHECKED, 3, b"\0\0")
-    door.core.board.well, door.core.board.value = False, 0.0
+    assert read_frame(sock) == (codec.HEALTH_STATUS, 3, b"\0\0")
+    harness.core.board.well, harness.core.board.value = False, 0.0
     sock.sendall(check)
-    assert read(sock) == (codec.CHECKED, 3, b"\x01\x01\x01v\x01\x000")
+    assert read_frame(sock) == (codec.HEALTH_STATUS, 3, b"\x01\x01\x01v\x01\x000")
 
 
 @pytest.mark.parametrize(
@@ -125,204 +125,218 @@
         {"d": "8001"},
     ],
 )
-def test_an_exchange_that_cannot_be_taken_in_is_terminated_alone(door: Door, changes: Any) -> None:
-    _, sock = door.open()
+def test_an_exchange_that_cannot_be_taken_in_is_terminated_alone(
+    harness: ServerHarness, changes: Any
+) -> None:
+    _, sock = harness.open()
     sock.sendall(ask_bytes(1, **changes) + ask_bytes(2))
-    assert [t.ident for t in door.tickets(1)] == [f"{2:016x}"]
-    kind, stream, payload = read(sock)
+    assert [t.ident for t in harness.tickets(1)] == [f"{2:016x}"]
+    kind, stream, payload = read_frame(sock)
     assert (kind, stream, payload[0]) == (codec.ANSWER, 1, codec.TERMINATED)
 
 
 def test_tries_of_a_deduplicated_exchange_carry_their_key_and_without_one_it_is_not_run() -> None:
     with gevent.Timeout(3 * WAIT_S):
-        door = Door(kind=Kind.DEDUPLICATED)
-        (_, first), (_, second) = door.open(), door.open()
+        harness = ServerHarness(kind=Kind.DEDUPLICATED)
+        (_, first), (_, second) = harness.open(), harness.open()
         first.sendall(ask_bytes(1, k="53bb", o="x"))
         second.sendall(ask_bytes(1) + ask_bytes(2, k="53bb"))
-        assert [t.about for t in door.tickets(2)] == ["53bb", "53bb"]
-        kind, stream, payload = read(second)
+        assert [t.about for t in harness.tickets(2)] == ["53bb", "53bb"]
+        kind, stream, payload = read_frame(second)
         assert (kind, stream, payload[0]) == (codec.ANSWER, 1, codec.TERMINATED)
-        door.front.listener.close()
+        harness.server.listener.close()
 
 
 def test_an_exchange_that_is_given_up_leaves_the_others_on_its_connection_alone() -> None:
     with gevent.Timeout(3 * WAIT_S):
-        door = Door(tells_gone=True)
-        connection, sock = door.open()
+        harness = ServerHarness(tells_gone=True)
+        connection, sock = harness.open()
         sock.sendall(ask_bytes(1) + ask_bytes(2))
-        first, second = door.tickets(2)
+        first, second = harness.tickets(2)
         # The second one's answer crosses the word that it is given up.
         second.answer(Answer(second, Verdict.COMPLETED, b"r"))
-        sock.sendall(b"".join(codec.framed(codec.GIVE_UP, stream, b"\0") for stream in (1, 2, 9)))
-        assert door.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([first])]
+        sock.sendall(b"".join(codec.encode_frame(codec.ABANDON, stream, b"\0") for stream in (1, 2, 9)))
+        assert harness.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([first])]
         first.answer(Answer(first, Verdict.COMPLETED, b"late"))
         sock.sendall(ask_bytes(3))
-        assert len(door.tickets(1)) == 1 and connection.end is None
-        seen = {read(sock) for _ in range(2)}
-        assert seen == {(codec.ANSWER, 1, b"\x02\0"), (codec.ANSWER, 2, b"\0\0r")} and not door.core.mailbox
+        assert len(harness.tickets(1)) == 1 and connection.end is None
+        seen = {read_frame(sock) for _ in range(2)}
+        assert (
+            seen == {(codec.ANSWER, 1, b"\x02\0"), (codec.ANSWER, 2, b"\0\0r")} and not harness.core.mailbox
+        )
         sock.setblocking(False)
         with pytest.raises(BlockingIOError):
             sock.recv(1)
-        door.front.listener.close()
+        harness.server.listener.close()
 
 
-def test_more_streams_than_allowed_are_terminated(door: Door) -> None:
-    _, sock = door.open()
+def test_more_streams_than_allowed_are_terminated(harness: ServerHarness) -> None:
+    _, sock = harness.open()
     sock.sendall(b"".join(ask_bytes(stream) for stream in range(1, 34)))
-    assert read(sock)[1:] == (33, bytes([codec.TERMINATED, 0])) and len(door.tickets(32)) == 32
+    assert read_frame(sock)[1:] == (33, bytes([codec.TERMINATED, 0])) and len(harness.tickets(32)) == 32
 
 
-@pytest.mark.parametrize("bad", [b"\0\0\0\0", ask_bytes(1), codec.framed(77, 1, b"")])
+@pytest.mark.parametrize("bad", [b"\0\0\0\0", ask_bytes(1), codec.encode_frame(77, 1, b"")])
 def test_what_cannot_be_read_ends_that_connection_once_what_was_read_before_is_answered(
-    door: Door, bad: bytes
+    harness: ServerHarness, bad: bytes
 ) -> None:
-    (connection, sock), (_, other) = door.open(), door.open()
+    (connection, sock), (_, other) = harness.open(), harness.open()
     sock.sendall(ask_bytes(1) + bad + ask_bytes(9))
-    (ticket,) = door.tickets(1)
-    assert read(sock)[:2] == (codec.ANSWER, 0) and connection.end is None
+    (ticket,) = harness.tickets(1)
+    assert read_frame(sock)[:2] == (codec.ANSWER, 0) and connection.end is None
     other.sendall(ask_bytes(1))
-    assert [t.place[0] for t in door.tickets(1)] != [connection]
+    assert [t.place[0] for t in harness.tickets(1)] != [connection]
     ticket.answer(Answer(ticket, Verdict.COMPLETED, b"r"))
-    assert read(sock) == (codec.ANSWER, 1, b"\0\0r") and read(sock) == (0, 0, b"")
+    assert read_frame(sock) == (codec.ANSWER, 1, b"\0\0r") and read_frame(sock) == (0, 0, b"")
     sock.close()
-    while connection in door.front.connections:
+    while connection in harness.server.connections:
         gevent.sleep(0)
-    assert connection.end is End.BROKEN and not door.core.mailbox
+    assert connection.end is End.BROKEN and not harness.core.mailbox
 
 
-def at_a_socket(door: Door) -> tuple[Any, Any]:
+def connect_over_tcp(harness: ServerHarness) -> tuple[Any, Any]:
     """A caller over TCP, as resets are there, and our end of it."""
-    caller = socket.create_connection(door.front.listener.getsockname(), timeout=WAIT_S)
-    return caller, door.front.accept(door.front.listener.accept()[0])
+    caller = socket.create_connection(harness.server.listener.getsockname(), timeout=WAIT_S)
+    return caller, harness.server.add_connection(harness.server.listener.accept()[0])
 
 
-def test_bytes_that_were_never_read_destroy_no_answer_on_its_way(door: Door) -> None:
+def test_bytes_that_were_never_read_destroy_no_answer_on_its_way(harness: ServerHarness) -> None:
     """A caller brings more than is read after its bad frame, and listens only then."""
-    caller, connection = at_a_socket(door)
+    caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + b"\0\0\0\0" + bytes(20_000))
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     ticket.answer(Answer(ticket, Verdict.COMPLETED, bytes(4000)))
-    while not connection.taken or connection.open or connection.outgoing:
+    while not connection.bytes_sent or connection.open_streams or connection.outgoing:
         gevent.sleep(0)
     caller.sendall(bytes(20_000))
     caller.shutdown(socket.SHUT_WR)
     while connection.end is None:
         gevent.sleep(0)
-    assert read(caller)[:2] == (codec.ANSWER, 0)
-    assert read(caller)[1:] == (1, bytes(4002)) and read(caller) == (0, 0, b"")
+    assert read_frame(caller)[:2] == (codec.ANSWER, 0)
+    assert read_frame(caller)[1:] == (1, bytes(4002)) and read_frame(caller) == (0, 0, b"")
 
 
-def test_a_caller_that_shuts_only_its_writing_side_gets_its_answers(door: Door) -> None:
-    caller, connection = at_a_socket(door)
+def test_a_caller_that_shuts_only_its_writing_side_gets_its_answers(harness: ServerHarness) -> None:
+    caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + ask_bytes(2))
     caller.shutdown(socket.SHUT_WR)
-    tickets = door.tickets(2)
-    while connection.over is None:
+    tickets = harness.tickets(2)
+    while connection.read_end is None:
         gevent.sleep(0)
-    door.look(1000.0)
-    assert connection.end is None and not door.core.mailbox
+    harness.run_sweeps(1000.0)
+    assert connection.end is None and not harness.core.mailbox
     for ticket in tickets:
         ticket.answer(Answer(ticket, Verdict.COMPLETED, b"r"))
-    assert [read(caller)[:2] for _ in range(3)] == [(codec.AWAY, 0), (codec.ANSWER, 1), (codec.ANSWER, 2)]
-    assert read(caller) == (0, 0, b"") and connection.end is End.CLOSED
+    assert [read_frame(caller)[:2] for _ in range(3)] == [
+        (codec.GO_AWAY, 0),
+        (codec.ANSWER, 1),
+        (codec.ANSWER, 2),
+    ]
+    assert read_frame(caller) == (0, 0, b"") and connection.end is End.CLOSED
 
 
-def test_a_caller_that_is_gone_altogether_is_told_from_one_that_shut_its_writing_side(door: Door) -> None:
-    caller, _ = at_a_socket(door)
+def test_a_caller_that_is_gone_altogether_is_told_from_one_that_shut_its_writing_side(
+    harness: ServerHarness,
+) -> None:
+    caller, _ = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1))
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     caller.close()
-    assert door.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
+    assert harness.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
 
 
-def test_half_a_frame_costs_no_exchange_that_was_read_before_it(door: Door) -> None:
-    connection, sock = door.open()
+def test_half_a_frame_costs_no_exchange_that_was_read_before_it(harness: ServerHarness) -> None:
+    connection, sock = harness.open()
     sock.sendall(ask_bytes(1) + ask_bytes(2)[:20])
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     gevent.sleep(0)
-    door.look(5000.0)
+    harness.run_sweeps(5000.0)
     assert connection.end is None
     ticket.answer(Answer(ticket, Verdict.COMPLETED, b"r"))
-    assert read(sock) == (codec.ANSWER, 1, b"\0\0r")
-    door.look(200.0)
+    assert read_frame(sock) == (codec.ANSWER, 1, b"\0\0r")
+    harness.run_sweeps(200.0)
     assert connection.end is End.HALF
 
 
-@pytest.mark.parametrize("how", ["room", "sweep"])
+@pytest.mark.parametrize("how", ["make_room", "sweep"])
 @pytest.mark.parametrize("what", ["answer", "half"])
-def test_what_is_on_its_way_makes_its_connection_no_idle_one(door: Door, how: str, what: str) -> None:
+def test_what_is_on_its_way_makes_its_connection_no_idle_one(
+    harness: ServerHarness, how: str, what: str
+) -> None:
     """The end of what idles comes while an answer still waits for a slow reader, or between two halves of an
     exchange, of which the first was read."""
-    connection, sock = door.open()
+    connection, sock = harness.open()
     sock.sendall(ask_bytes(1) + (ask_bytes(2)[:20] if what == "half" else b""))
-    (ticket,) = door.tickets(1)
-    door.core.board.idle, connection.away_at = 100.0, 0.0
+    (ticket,) = harness.tickets(1)
+    harness.core.board.idle, connection.go_away_sent_at_ms = 100.0, 0.0
     result = bytes(4_000_000) if what == "answer" else b"r"
     ticket.answer(Answer(ticket, Verdict.COMPLETED, result))
-    while connection.open:
+    while connection.open_streams:
         gevent.sleep(0)
-    assert connection.flushing is (what == "answer")
-    if how == "room":
-        assert not door.front.make_room()
+    assert connection.is_flushing is (what == "answer")
+    if how == "make_room":
+        assert not harness.server.make_room()
     else:
-        door.front.sweep(connection.last_used + 10_000.0)
-    assert connection.end is None and read(sock) == (codec.ANSWER, 1, b"\0\0" + result)
+        harness.server.sweep(connection.last_used_ms + 10_000.0)
+    assert connection.end is None and read_frame(sock) == (codec.ANSWER, 1, b"\0\0" + result)
     sock.sendall(ask_bytes(2)[20 if what == "half" else 0 :])
-    assert len(door.tickets(1)) == 1
+    assert len(harness.tickets(1)) == 1
 
 
-@pytest.mark.parametrize("how", ["sweep", "shut"])
-def test_one_that_is_seen_off_is_not_told_away_over_its_answers(door: Door, how: str) -> None:
+@pytest.mark.parametrize("how", ["sweep", "stop_accepting"])
+def test_one_that_is_seen_off_is_not_told_away_over_its_answers(harness: ServerHarness, how: str) -> None:
     """It brought a bad frame after an exchange, more lies unread, and its side is shut after the answer: what
     is told to idle connections, or to all at the end of the grace, would break it off."""
-    caller, connection = at_a_socket(door)
+    caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + b"\0\0\0\0")
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     ticket.answer(Answer(ticket, Verdict.COMPLETED, bytes(4000)))
-    while connection.open or connection.outgoing:
+    while connection.open_streams or connection.outgoing:
         gevent.sleep(0)
     gevent.sleep(0)
     caller.sendall(bytes(2000))
     if how == "sweep":
-        door.core.board.idle = 100.0
-        door.front.sweep(connection.last_used + 5000.0)
+        harness.core.board.idle = 100.0
+        harness.server.sweep(connection.last_used_ms + 5000.0)
     else:
-        door.front.shut()
+        harness.server.stop_accepting()
     assert connection.end is None
-    assert read(caller)[:2] == (codec.ANSWER, 0) and read(caller)[1:] == (1, bytes(4002))
-    assert read(caller) == (0, 0, b"")
+    assert read_frame(caller)[:2] == (codec.ANSWER, 0) and read_frame(caller)[1:] == (1, bytes(4002))
+    assert read_frame(caller) == (0, 0, b"")
 
 
-@pytest.mark.parametrize("how", ["room", "sweep"])
-def test_an_exchange_that_lies_unread_makes_its_connection_no_idle_one(door: Door, how: str) -> None:
+@pytest.mark.parametrize("how", ["make_room", "sweep"])
+def test_an_exchange_that_lies_unread_makes_its_connection_no_idle_one(
+    harness: ServerHarness, how: str
+) -> None:
     """It comes after the last read and before the close: the reader has had no turn yet."""
-    caller, connection = at_a_socket(door)
+    caller, connection = connect_over_tcp(harness)
     gevent.sleep(0)
-    connection.frames, connection.away_at = 1, 0.0
-    door.core.board.idle = 100.0
+    connection.frames_received, connection.go_away_sent_at_ms = 1, 0.0
+    harness.core.board.idle = 100.0
     caller.sendall(ask_bytes(1))
-    if how == "room":
-        assert not door.front.make_room()
+    if how == "make_room":
+        assert not harness.server.make_room()
     else:
-        door.front.sweep(connection.last_used + 10_000.0)
-    assert connection.end is None and len(door.tickets(1)) == 1
+        harness.server.sweep(connection.last_used_ms + 10_000.0)
+    assert connection.end is None and len(harness.tickets(1)) == 1
 
 
-def test_a_caller_that_goes_away_is_told_to_the_module(door: Door) -> None:
-    connection, sock = door.open()
+def test_a_caller_that_goes_away_is_told_to_the_module(harness: ServerHarness) -> None:
+    connection, sock = harness.open()
     sock.sendall(ask_bytes(1))
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     sock.close()
-    assert door.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
-    assert connection.end is End.CLOSED and not door.front.connections and not door.front.callers
+    assert harness.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
+    assert connection.end is End.CLOSED and not harness.server.connections and not harness.server.callers
 
 
-def test_a_reader_that_stalls_holds_up_nobody_else(door: Door) -> None:
-    (slow, stalled), (_, sock) = door.open(), door.open()
-    result = bytes(codec.RESULT)
+def test_a_reader_that_stalls_holds_up_nobody_else(harness: ServerHarness) -> None:
+    (slow, stalled), (_, sock) = harness.open(), harness.open()
+    result = bytes(codec.MAX_RESULT_BYTES)
     for first in range(1, 3000, 32):
         stalled.sendall(b"".join(ask_bytes(stream) for stream in range(first, first + 32)))
-        letters = door.core.mailbox.take(300.0)
+        letters = harness.core.mailbox.take(300.0)
         if not letters:
             break  # no longer read, as it takes nothing
         for letter in letters:
@@ -330,20 +344,20 @@
         gevent.sleep(0)
     assert slow.outgoing.capacity <= 262_144
     sock.sendall(ask_bytes(1))
-    ticket = next(t for t in iter(lambda: door.tickets(1)[-1], None) if t.place[0] is not slow)
+    ticket = next(t for t in iter(lambda: harness.tickets(1)[-1], None) if t.place[0] is not slow)
     ticket.answer(Answer(ticket, Verdict.DENIED))
-    assert read(sock)[1] == 1
+    assert read_frame(sock)[1] == 1
 
 
-def test_a_reader_that_takes_nothing_for_long_is_closed(door: Door) -> None:
-    connection, _ = door.open()
-    connection.frames = 1
+def test_a_reader_that_takes_nothing_for_long_is_closed(harness: ServerHarness) -> None:
+    connection, _ = harness.open()
+    connection.frames_received = 1
     connection.send(bytes(4_000_000))
     gevent.sleep(0)
     gevent.sleep(0)
-    door.look(4000.0)
+    harness.run_sweeps(4000.0)
     assert connection.end is None
-    door.look(2000.0)
+    harness.run_sweeps(2000.0)
     assert connection.end is End.STUCK
 
 
@@ -353,34 +367,36 @@
         b"",
         ask_bytes(1)[:20],
         ask_bytes(1, body=bytes(50_000))[:30_000],
-        codec.framed(codec.CHECK, 3, b"\0") + ask_bytes(1)[:3],
+        codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0") + ask_bytes(1)[:3],
     ],
 )
-def test_a_connection_that_brings_no_whole_frame_in_time_is_closed(door: Door, said: bytes) -> None:
-    (connection, sock), (sound, other) = door.open(), door.open()
+def test_a_connection_that_brings_no_whole_frame_in_time_is_closed(
+    harness: ServerHarness, said: bytes
+) -> None:
+    (connection, sock), (sound, other) = harness.open(), harness.open()
     sock.sendall(said)
-    other.sendall(codec.framed(codec.CHECK, 3, b"\0"))
+    other.sendall(codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0"))
     gevent.sleep(0.02)
-    door.front.sweep(door.front.swept + 10_000.0)  # we stood still: no fault of theirs
-    door.look(1500.0)
+    harness.server.sweep(harness.server.swept_at_ms + 10_000.0)  # we stood still: no fault of theirs
+    harness.run_sweeps(1500.0)
     assert connection.end is None
-    door.look(1000.0)
+    harness.run_sweeps(1000.0)
     assert connection.end is End.HALF and sound.end is None
 
 
-def test_a_frame_that_waits_for_us_is_not_late(door: Door) -> None:
-    connection, sock = door.open()
-    door.core.mailbox.bound = 0
+def test_a_frame_that_waits_for_us_is_not_late(harness: ServerHarness) -> None:
+    connection, sock = harness.open()
+    harness.core.mailbox.bound = 0
     sock.sendall(ask_bytes(1) + ask_bytes(2)[:20])
     gevent.sleep(0.02)
-    door.look(5000.0)
+    harness.run_sweeps(5000.0)
     assert connection.end is None
 
 
-def test_a_sender_at_full_speed_leaves_the_others_their_turn(door: Door) -> None:
+def test_a_sender_at_full_speed_leaves_the_others_their_turn(harness: ServerHarness) -> None:
     """A socket that always has something to read never waits, so its reader must give way by itself."""
-    connection, _ = door.open()
-    long, turns = ask_bytes(1, body=bytes(codec.LONGEST - 200)), [0]
+    connection, _ = harness.open()
+    long, turns = ask_bytes(1, body=bytes(codec.MAX_LENGTH_BYTES - 200)), [0]
 
     class Full:
         def recv_into(self, room: Any) -> int:
@@ -399,98 +415,102 @@
     reader.kill()
 
 
-def test_a_reset_in_the_middle_of_a_frame_disturbs_nobody_else(door: Door) -> None:
-    accepting = gevent.spawn(door.front.run)
-    address = door.front.listener.getsockname()
+def test_a_reset_in_the_middle_of_a_frame_disturbs_nobody_else(harness: ServerHarness) -> None:
+    accept_loop = gevent.spawn(harness.server.run)
+    address = harness.server.listener.getsockname()
     broken, sound = socket.create_connection(address), socket.create_connection(address)
     broken.sendall(ask_bytes(1) + ask_bytes(2)[:20])
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     broken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     broken.close()
-    assert door.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
+    assert harness.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
     assert ticket.place[0].end is End.RESET
     sound.sendall(ask_bytes(1))
-    assert len(door.tickets(1)) == 1
-    accepting.kill()
-    door.front.accepting.kill()
+    assert len(harness.tickets(1)) == 1
+    accept_loop.kill()
+    harness.server.accept_loop.kill()
 
 
-def test_idle_connections_are_asked_to_close_and_busy_ones_are_not(door: Door) -> None:
-    (idle, sock), (busy, other) = door.open(), door.open()
+def test_idle_connections_are_asked_to_close_and_busy_ones_are_not(harness: ServerHarness) -> None:
+    (idle, sock), (busy, other) = harness.open(), harness.open()
     other.sendall(ask_bytes(1))
-    door.tickets(1)
-    door.core.board.idle = 500.0
-    now = max(idle.last_used, busy.last_used) + 501.0
-    door.front.sweep(now)
-    assert read(sock) == (codec.AWAY, 0, b"") and busy.away_at is None
-    door.front.sweep(now + 3000.0)
-    assert idle.end is End.LEFT and read(sock) == (0, 0, b"")
+    harness.tickets(1)
+    harness.core.board.idle = 500.0
+    now = max(idle.last_used_ms, busy.last_used_ms) + 501.0
+    harness.server.sweep(now)
+    assert read_frame(sock) == (codec.GO_AWAY, 0, b"") and busy.go_away_sent_at_ms is None
+    harness.server.sweep(now + 3000.0)
+    assert idle.end is End.LEFT and read_frame(sock) == (0, 0, b"")
 
 
-def test_the_listener_closes_once_nothing_more_would_run_and_what_crosses_is_taken(door: Door) -> None:
-    _, sock = door.open()
+def test_the_listener_closes_once_nothing_more_would_run_and_what_crosses_is_taken(
+    harness: ServerHarness,
+) -> None:
+    _, sock = harness.open()
     sock.sendall(ask_bytes(1))
-    door.tickets(1)
-    door.play.turn(0.0, Leave(0.0))
+    harness.tickets(1)
+    harness.play.turn(0.0, Leave(0.0))
     sock.sendall(ask_bytes(2))
-    assert len(door.tickets(1)) == 1 and not door.front.listener.closed
-    door.play.turn(1000.0)
-    assert read(sock) == (codec.AWAY, 0, b"") and door.front.listener.closed
+    assert len(harness.tickets(1)) == 1 and not harness.server.listener.closed
+    harness.play.turn(1000.0)
+    assert read_frame(sock) == (codec.GO_AWAY, 0, b"") and harness.server.listener.closed
     sock.sendall(ask_bytes(3))
-    assert len(door.tickets(1)) == 1
+    assert len(harness.tickets(1)) == 1
 
 
-def test_what_the_machine_accepted_before_the_listener_closes_is_still_taken(door: Door) -> None:
+def test_what_the_machine_accepted_before_the_listener_closes_is_still_taken(harness: ServerHarness) -> None:
     with socket.socket() as caller:
         caller.settimeout(WAIT_S)
-        caller.connect(door.front.listener.getsockname())
+        caller.connect(harness.server.listener.getsockname())
         caller.sendall(ask_bytes(1))
-        door.front.shut()
-        assert len(door.tickets(1)) == 1
+        harness.server.stop_accepting()
+        assert len(harness.tickets(1)) == 1
 
 
 def test_a_crowd_at_the_listener_when_it_closes_takes_no_more_descriptors_than_there_are() -> None:
     with gevent.Timeout(3 * WAIT_S):
-        door = Door(most=3)
-        address = door.front.listener.getsockname()
+        harness = ServerHarness(most=3)
+        address = harness.server.listener.getsockname()
         crowd = [socket.create_connection(address, timeout=WAIT_S) for _ in range(12)]
         for sock in crowd:
             sock.sendall(ask_bytes(1))
-        door.front.shut()
+        harness.server.stop_accepting()
         answered = 0
         while answered < len(crowd):
-            for ticket in door.tickets(1):
-                assert len(door.front.connections) <= 3
+            for ticket in harness.tickets(1):
+                assert len(harness.server.connections) <= 3
                 ticket.answer(Answer(ticket, Verdict.DENIED))
                 answered += 1
         for sock in crowd:
             # Each is told to bring no more before or after its answer, and none is reset.
-            assert {read(sock)[0] for _ in range(2)} == {codec.AWAY, codec.ANSWER}
+            assert {read_frame(sock)[0] for _ in range(2)} == {codec.GO_AWAY, codec.ANSWER}
             sock.close()
-        while not door.front.emptied():
+        while not harness.server.emptied():
             gevent.sleep(0.001)
 
 
 def test_a_caller_that_waits_at_the_listener_keeps_the_drain_from_its_end() -> None:
     with gevent.Timeout(3 * WAIT_S):
-        door = Door(most=1)
-        address = door.front.listener.getsockname()
+        harness = ServerHarness(most=1)
+        address = harness.server.listener.getsockname()
         first, second = (socket.create_connection(address, timeout=WAIT_S) for _ in range(2))
-        door.front.shut()
-        (connection,) = door.front.connections
-        door.front.ended(connection)  # between its end and the turn in which the next one is accepted
-        assert not door.front.connections and not door.front.emptied()
+        harness.server.stop_accepting()
+        (connection,) = harness.server.connections
+        harness.server.remove_connection(
+            connection
+        )  # between its end and the turn in which the next one is accepted
+        assert not harness.server.connections and not harness.server.emptied()
         second.sendall(ask_bytes(1))
-        assert len(door.tickets(1)) == 1
+        assert len(harness.tickets(1)) == 1
         first.close()
         second.close()
-        while not door.front.emptied():
+        while not harness.server.emptied():
             gevent.sleep(0.001)
 
 
-def test_one_that_gave_up_in_the_backlog_costs_those_behind_it_nothing(door: Door) -> None:
+def test_one_that_gave_up_in_the_backlog_costs_those_behind_it_nothing(harness: ServerHarness) -> None:
     """The listener is asked for the rest of what came, and the first of that has broken off."""
-    real = door.front.listener
+    real = harness.server.listener
     broken = [ConnectionAbortedError()]
 
     class Listener:
@@ -506,34 +526,36 @@
         caller.settimeout(WAIT_S)
         caller.connect(real.getsockname())
         caller.sendall(ask_bytes(1))
-        door.front.listener = Listener()
-        door.front.shut()
-        assert len(door.tickets(1)) == 1 and real.closed
+        harness.server.listener = Listener()
+        harness.server.stop_accepting()
+        assert len(harness.tickets(1)) == 1 and real.closed
 
 
-def test_a_crowd_is_accepted_at_a_pace_and_every_health_check_in_it_is_answered(door: Door) -> None:
-    door.front.adopt(Accepting(per_second=100.0, cold_per_second=100.0, burst=4))
-    assert door.front.pace is not None
-    address = door.front.listener.getsockname()
+def test_a_crowd_is_accepted_at_a_pace_and_every_health_check_in_it_is_answered(
+    harness: ServerHarness,
+) -> None:
+    harness.server.adopt(Accepting(per_second=100.0, cold_per_second=100.0, burst=4))
+    assert harness.server.rate_limiter is not None
+    address = harness.server.listener.getsockname()
     crowd = [socket.create_connection(address, timeout=WAIT_S) for _ in range(40)]
     for sock in crowd:
-        sock.sendall(codec.framed(codec.CHECK, 1, b"\0"))
-    accepting = gevent.spawn(door.front.run)  # once all are there, however busy the machine is
-    assert [read(sock)[0] for sock in crowd] == [codec.CHECKED] * 40
-    assert door.front.pace.held_back > 0
-    accepting.kill()
-
-
-def test_a_pace_that_is_turned_off_holds_nobody_back(door: Door) -> None:
-    door.front.adopt(Accepting(per_second=10.0, cold_per_second=10.0, burst=1))
-    door.front.adopt(None)
-    accepting = gevent.spawn(door.front.run)
-    address = door.front.listener.getsockname()
+        sock.sendall(codec.encode_frame(codec.HEALTH_CHECK, 1, b"\0"))
+    accept_loop = gevent.spawn(harness.server.run)  # once all are there, however busy the machine is
+    assert [read_frame(sock)[0] for sock in crowd] == [codec.HEALTH_STATUS] * 40
+    assert harness.server.rate_limiter.delayed_connections > 0
+    accept_loop.kill()
+
+
+def test_a_pace_that_is_turned_off_holds_nobody_back(harness: ServerHarness) -> None:
+    harness.server.adopt(Accepting(per_second=10.0, cold_per_second=10.0, burst=1))
+    harness.server.adopt(None)
+    accept_loop = gevent.spawn(harness.server.run)
+    address = harness.server.listener.getsockname()
     crowd = [socket.create_connection(address, timeout=WAIT_S) for _ in range(20)]
     for sock in crowd:
-        sock.sendall(codec.framed(codec.CHECK, 1, b"\0"))
-    assert [read(sock)[0] for sock in crowd] == [codec.CHECKED] * 20
-    accepting.kill()
+        sock.sendall(codec.encode_frame(codec.HEALTH_CHECK, 1, b"\0"))
+    assert [read_frame(sock)[0] for sock in crowd] == [codec.HEALTH_STATUS] * 20
+    accept_loop.kill()
 
 
 def list_stand_in(listener: Any, heard: list[bytes], replies: list[bytes]) -> None:
@@ -631,28 +653,28 @@
         assert report.get() is True and roll.told is False
 
 
-def test_what_still_lies_with_a_caller_goes_out_before_the_process_ends(door: Door) -> None:
+def test_what_still_lies_with_a_caller_goes_out_before_the_process_ends(harness: ServerHarness) -> None:
     """The end comes after the answer was posted and before its actor had a turn; more lies unread."""
-    caller, _ = at_a_socket(door)
+    caller, _ = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1))
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     caller.sendall(ask_bytes(2))
     ticket.answer(Answer(ticket, Verdict.COMPLETED, b"r"))
-    door.front.last_words()
+    harness.server.last_words()
     # The process still stands: who would speak now learns at once that nobody listens.
-    assert read(caller) == (codec.ANSWER, 1, b"\0\0r") and read(caller) == (0, 0, b"")
+    assert read_frame(caller) == (codec.ANSWER, 1, b"\0\0r") and read_frame(caller) == (0, 0, b"")
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
 def test_a_system_clock_that_is_set_moves_no_due_time(
-    door: Door, monkeypatch: pytest.MonkeyPatch, step: float
+    harness: ServerHarness, monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
     before, usual = now_ms(), time.time
     monkeypatch.setattr("time.time", lambda: usual() + step)
     assert abs(now_ms() - before) < 5000.0
-    _, sock = door.open()
+    _, sock = harness.open()
     sock.sendall(ask_bytes(1, s=str(int(time.time() * 1000.0) - 200)))
-    (ticket,) = door.tickets(1)
+    (ticket,) = harness.tickets(1)
     assert 199.0 <= now_ms() - ticket.reached < 5000.0
 
 
@@ -677,64 +699,67 @@
     assert roll.away
 
 
-def test_one_that_brought_a_bad_frame_makes_room_before_any_idle_one(door: Door) -> None:
-    caller, bad = at_a_socket(door)
-    _, idle = at_a_socket(door)
-    idle.frames, bad.last_used = 1, idle.last_used + 1.0
-    door.front.connections[bad] = door.front.connections.pop(bad)
+def test_one_that_brought_a_bad_frame_makes_room_before_any_idle_one(harness: ServerHarness) -> None:
+    caller, bad = connect_over_tcp(harness)
+    _, idle = connect_over_tcp(harness)
+    idle.frames_received, bad.last_used_ms = 1, idle.last_used_ms + 1.0
+    harness.server.connections[bad] = harness.server.connections.pop(bad)
     caller.sendall(b"\0\0\0\0")
-    assert read(caller)[:2] == (codec.ANSWER, 0)
-    while bad.over is None:
+    assert read_frame(caller)[:2] == (codec.ANSWER, 0)
+    while bad.read_end is None:
         gevent.sleep(0)
-    assert door.front.make_room() and idle.end is None and bad.end is not None
+    assert harness.server.make_room() and idle.end is None and bad.end is not None
 
 
 def test_what_still_comes_off_a_connection_that_made_room_is_passed_over() -> None:
-    door = Door(most=1)
-    connection, sock = door.open()
-    assert door.front.make_room() and connection.end is End.LEFT
-    (ask,) = codec.Decoder(filled(ask_bytes(1))).frames()
-    door.front.asked(connection, ask)  # type: ignore[arg-type]
-    assert not door.front.connections and not door.front.callers
-    half, _ = door.open()
+    harness = ServerHarness(most=1)
+    connection, sock = harness.open()
+    assert harness.server.make_room() and connection.end is End.LEFT
+    (ask,) = codec.Decoder(ring_buffer_with(ask_bytes(1))).frames()
+    harness.server.handle_frame(connection, ask)  # type: ignore[arg-type]
+    assert not harness.server.connections and not harness.server.callers
+    half, _ = harness.open()
     half.incoming.append(b"half a frame")
-    half.frames = 1
-    assert not door.front.make_room()
-    fresh, _ = door.open()
+    half.frames_received = 1
+    assert not harness.server.make_room()
+    fresh, _ = harness.open()
     fresh.incoming.append(b"half a frame")
-    assert door.front.make_room() and fresh.end is End.LEFT and half.end is None
+    assert harness.server.make_room() and fresh.end is End.LEFT and half.end is None
     sock.close()
-    door.front.listener.close()
+    harness.server.listener.close()
 
 
-def filled(data: bytes) -> Ring:
-    ring = Ring()
+def ring_buffer_with(data: bytes) -> RingBuffer:
+    ring = RingBuffer()
     ring.append(data)
     return ring
 
 
 def test_a_flood_of_idle_connections_leaves_room_and_busy_ones_stay() -> None:
     with gevent.Timeout(3 * WAIT_S):
-        door = Door(most=3)
-        accepting = gevent.spawn(door.front.run)
-        address = door.front.listener.getsockname()
+        harness = ServerHarness(most=3)
+        accept_loop = gevent.spawn(harness.server.run)
+        address = harness.server.listener.getsockname()
         callers = [socket.create_connection(address) for _ in range(2)]
         for caller in callers:
             caller.sendall(ask_bytes(1))
-        door.tickets(2)
+        harness.tickets(2)
         idle = [socket.create_connection(address) for _ in range(10)]
-        idle[-1].sendall(codec.framed(codec.CHECK, 3, b"\0"))
-        assert read(idle[-1])[:2] == (codec.CHECKED, 3) and idle[0].recv(10) == b""
-        assert len(door.front.connections) <= 3 and sum(bool(c.open) for c in door.front.connections) == 2
+        idle[-1].sendall(codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0"))
+        assert read_frame(idle[-1])[:2] == (codec.HEALTH_STATUS, 3) and idle[0].recv(10) == b""
+        assert (
+            len(harness.server.connections) <= 3
+            and sum(bool(c.open_streams) for c in harness.server.connections) == 2
+        )
         busy = [socket.create_connection(address)]
         busy[0].sendall(ask_bytes(1))
-        door.tickets(1)
+        harness.tickets(1)
         busy += [socket.create_connection(address)]
-        busy[1].sendall(codec.framed(codec.CHECK, 3, b"\0"))
+        busy[1].sendall(codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0"))
         gevent.sleep(0)
-        assert len(door.front.connections) == 3
+        assert len(harness.server.connections) == 3
         callers[0].close()
-        assert read(busy[1])[:2] == (codec.CHECKED, 3)
-        accepting.kill()
-        door.front.accepting.kill()
-        door.front.listener.close()
+        assert read_frame(busy[1])[:2] == (codec.HEALTH_STATUS, 3)
+        accept_loop.kill()
+        harness.server.accept_loop.kill()
+        harness.server.listener.close()
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -9,38 +9,38 @@
 from helpers import ask_bytes
 
 from myrtlecrank.frames import codec
-from myrtlecrank.frames.ring_buffer import Ring
+from myrtlecrank.frames.ring_buffer import RingBuffer
 
 
 def read(*pieces: bytes) -> list[Any]:
-    ring, out = Ring(16), []
+    ring, out = RingBuffer(16), []
     decoder = codec.Decoder(ring)
     for piece in pieces:
         ring.append(piece)
         out += list(decoder.frames())
-        assert ring.capacity < 4 * codec.KEPT + 4 * len(piece)
+        assert ring.capacity < 4 * codec.MAX_BUFFERED_LENGTH_BYTES + 4 * len(piece)
     return out
 
 
 def test_frames_come_out_the_same_however_their_bytes_are_split() -> None:
     body = bytes(range(256)) * 8
     whole = b"".join(ask_bytes(stream, body=body) for stream in (1, 2, 3))
-    whole += codec.framed(codec.CHECK, 9, b"\0")
+    whole += codec.encode_frame(codec.HEALTH_CHECK, 9, b"\0")
     chance = random.Random(1)
     for _ in range(50):
         cuts = sorted(chance.sample(range(len(whole)), 20))
         parts = [whole[a:b] for a, b in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
         frames = read(*parts)
         assert [f.stream for f in frames] == [1, 2, 3, 9]
-        assert all(f.body == body and f.wait == 480.0 for f in frames[:3])
+        assert all(f.body == body and f.wait_ms == 480.0 for f in frames[:3])
 
 
 def test_a_long_value_has_a_length_of_two_bytes() -> None:
-    assert read(ask_bytes(1, o="k" * 700))[0].about == "k" * 700
+    assert read(ask_bytes(1, o="k" * 700))[0].subject == "k" * 700
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "reason"),
     [
         ({"i": "xyz"}, "'i'"),
         ({"i": None}, "'i'"),
@@ -58,17 +58,17 @@
         ({"f": "1.5"}, "'f'"),
         ({"s": "1.5"}, "'s'"),
         ({"d": "1e9"}, "'d'"),
-        ({"t": "\udcff"}, "no text"),
+        ({"t": "\udcff"}, "not UTF-8 text"),
         ({"f": None}, "'f'"),
         ({"k": "k" * 257}, "key"),
         ({"body": b"x" * 2049}, "body of 2049"),
         ({"doubled": "t"}, "twice"),
     ],
 )
-def test_what_spoils_one_exchange_leaves_the_next_readable(changes: dict[str, Any], why: str) -> None:
+def test_what_spoils_one_exchange_leaves_the_next_readable(changes: dict[str, Any], reason: str) -> None:
     spoiled, sound = read(ask_bytes(7, **changes) + ask_bytes(8))
-    assert isinstance(spoiled, codec.Spoiled) and spoiled.stream == 7 and why in spoiled.why
-    assert isinstance(sound, codec.Ask)
+    assert isinstance(spoiled, codec.InvalidRequest) and spoiled.stream == 7 and reason in spoiled.reason
+    assert isinstance(sound, codec.Request)
 
 
 @pytest.mark.parametrize(
@@ -76,50 +76,50 @@
     [
         b"\x04\0\0\0",
         b"\x01\0\x04\0",
-        codec.framed(99, 1, b""),
-        codec.framed(codec.ANSWER, 1, b"")[:9],
-        codec.framed(codec.ASK, 0, b"\0"),
-        codec.framed(codec.CHECK, 1, b"\x01"),
+        codec.encode_frame(99, 1, b""),
+        codec.encode_frame(codec.ANSWER, 1, b"")[:9],
+        codec.encode_frame(codec.REQUEST, 0, b"\0"),
+        codec.encode_frame(codec.HEALTH_CHECK, 1, b"\x01"),
     ],
 )
 def test_what_is_no_frame_breaks_the_connection(raw: bytes) -> None:
-    with pytest.raises(codec.Broken):
+    with pytest.raises(codec.ProtocolError):
         read(raw)
 
 
 def test_fields_that_run_past_their_frame_do_not_reach_into_the_next() -> None:
-    short = codec.framed(codec.ASK, 1, b"\x01\x01i\xff\xff")
+    short = codec.encode_frame(codec.REQUEST, 1, b"\x01\x01i\xff\xff")
     spoiled, sound = read(short + ask_bytes(2))
-    assert isinstance(spoiled, codec.Spoiled) and sound.stream == 2
+    assert isinstance(spoiled, codec.InvalidRequest) and sound.stream == 2
 
 
 def test_a_long_frame_is_passed_over_without_being_kept() -> None:
     long = ask_bytes(1, body=bytes(200_000))
     spoiled, sound = read(*(long[i : i + 1000] for i in range(0, len(long), 1000)), ask_bytes(2))
-    assert isinstance(spoiled, codec.Spoiled) and spoiled.stream == 1 and sound.stream == 2
+    assert isinstance(spoiled, codec.InvalidRequest) and spoiled.stream == 1 and sound.stream == 2
 
 
 def test_answers_carry_the_value_and_on_denials_the_advice() -> None:
-    frame = codec.answer(5, codec.DENIED, 2.5, wait=120.4, last=True)
+    frame = codec.encode_answer(5, codec.DENIED, 2.5, wait_ms=120.4, is_last=True)
     assert frame == b"\x1a\0\0\0\x0b\x05\0\0\0\x01\x03\x01v\x03\x002.5\x01w\x03\x00120\x01l\x01\x001"
     result = bytes(range(256)) * 16
-    assert codec.answer(5, codec.COMPLETED, None, 9.0, True, result)[9:] == b"\0\0" + result
+    assert codec.encode_answer(5, codec.COMPLETED, None, 9.0, True, result)[9:] == b"\0\0" + result
 
 
 def test_the_ring_keeps_order_around_its_end_and_gives_memory_back() -> None:
-    ring, chance, sent, got = Ring(8), random.Random(2), bytearray(), bytearray()
+    ring, chance, sent, got = RingBuffer(8), random.Random(2), bytearray(), bytearray()
     for _ in range(500):
         piece = chance.randbytes(chance.randrange(40))
         if chance.random() < 0.5:
             ring.append(piece)
         else:
             for byte in piece:
-                ring.room()[:1] = bytes([byte])
-                ring.wrote(1)
+                ring.writable_view()[:1] = bytes([byte])
+                ring.mark_written(1)
         sent += piece
-        got += ring.take(chance.randrange(45))
-    got += ring.take(len(ring))
+        got += ring.read(chance.randrange(45))
+    got += ring.read(len(ring))
     assert got == sent
     ring.append(bytes(5000))
-    ring.skip(5000)
+    ring.discard(5000)
     assert ring.capacity == 8
