--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Connections and callers over socket pairs; the list over a listener on a free port."""
+"""Connections and callers over socket pairs; the membership list over a listener on a free port."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ServerHarness:
-    """A front whose module's actor does not run: its mailbox is read by hand."""
+    """A server whose core's actor does not run: the test reads the core's mailbox."""
 
     def __init__(
         self, sockets: int = 1024, kind: Kind = Kind.REPEATABLE, most: int | None = None, **others: Any
@@ -37,28 +37,28 @@
         self.server.max_connections = most or self.server.max_connections
 
     def open(self) -> tuple[Any, Any]:
-        """Our end of a new connection, and the caller's."""
+        """Returns the server's connection and the caller's socket."""
         ours, theirs = socket.socketpair()
         theirs.settimeout(WAIT_S)
-        connection = self.server.add_connection(Pair(ours))
+        connection = self.server.add_connection(PairSocket(ours))
         return connection, theirs
 
     def run_sweeps(self, ms: float) -> None:
-        """As many beats as come in that time."""
+        """Runs the sweeps of the sampling ticks in that time."""
         for _ in range(round(ms / 100.0)):
             self.server.sweep(self.server.swept_at_ms + 100.0)
 
     def tickets(self, count: int) -> list[Any]:
         found: list[Any] = []
         while len(found) < count:
-            letters = self.core.mailbox.take(WAIT_S * 1000.0)
-            assert letters, "nothing came"
-            found += [letter.ticket for letter in letters if isinstance(letter, Arrived)]
+            messages = self.core.mailbox.take(WAIT_S * 1000.0)
+            assert messages, "no message arrived"
+            found += [message.ticket for message in messages if isinstance(message, Arrived)]
         return found
 
 
-class Pair:
-    """A socket of a pair knows no option of TCP."""
+class PairSocket:
+    """A socket of a pair, which ignores TCP options."""
 
     def __init__(self, sock: Any) -> None:
         self.sock = sock
@@ -73,9 +73,9 @@
 @pytest.fixture
 def harness() -> Iterator[ServerHarness]:
     with gevent.Timeout(3 * WAIT_S):
-        made = ServerHarness()
-        yield made
-        made.server.listener.close()
+        harness = ServerHarness()
+        yield harness
+        harness.server.listener.close()
 
 
 def read_frame(sock: Any) -> tuple[int, int, bytes]:
@@ -103,7 +103,7 @@
     assert all(body == b"\0\x01\x01v\x01\x002%016x" % stream for _, stream, body in seen)
 
 
-def test_a_health_check_hears_health_and_value(harness: ServerHarness) -> None:
+def test_health_check_gets_health_and_published_value(harness: ServerHarness) -> None:
     _, sock = harness.open()
     check = codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0")
     sock.sendall(check)
@@ -125,7 +125,7 @@
         {"d": "8001"},
     ],
 )
-def test_an_exchange_that_cannot_be_taken_in_is_terminated_alone(
+def test_invalid_exchange_is_terminated_and_the_next_one_is_submitted(
     harness: ServerHarness, changes: Any
 ) -> None:
     _, sock = harness.open()
@@ -135,7 +135,7 @@
     assert (kind, stream, payload[0]) == (codec.ANSWER, 1, codec.TERMINATED)
 
 
-def test_tries_of_a_deduplicated_exchange_carry_their_key_and_without_one_it_is_not_run() -> None:
+def test_deduplicated_exchange_needs_a_key_and_its_tries_carry_it() -> None:
     with gevent.Timeout(3 * WAIT_S):
         harness = ServerHarness(kind=Kind.DEDUPLICATED)
         (_, first), (_, second) = harness.open(), harness.open()
@@ -147,13 +147,13 @@
         harness.server.listener.close()
 
 
-def test_an_exchange_that_is_given_up_leaves_the_others_on_its_connection_alone() -> None:
+def test_abandoned_exchange_leaves_others_on_its_connection_alone() -> None:
     with gevent.Timeout(3 * WAIT_S):
         harness = ServerHarness(tells_gone=True)
         connection, sock = harness.open()
         sock.sendall(ask_bytes(1) + ask_bytes(2))
         first, second = harness.tickets(2)
-        # The second one's answer crosses the word that it is given up.
+        # The second exchange's answer crosses the frame that abandons it.
         second.answer(Answer(second, Verdict.COMPLETED, b"r"))
         sock.sendall(b"".join(codec.encode_frame(codec.ABANDON, stream, b"\0") for stream in (1, 2, 9)))
         assert harness.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([first])]
@@ -170,14 +170,14 @@
         harness.server.listener.close()
 
 
-def test_more_streams_than_allowed_are_terminated(harness: ServerHarness) -> None:
+def test_streams_above_the_limit_are_terminated(harness: ServerHarness) -> None:
     _, sock = harness.open()
     sock.sendall(b"".join(ask_bytes(stream) for stream in range(1, 34)))
     assert read_frame(sock)[1:] == (33, bytes([codec.TERMINATED, 0])) and len(harness.tickets(32)) == 32
 
 
 @pytest.mark.parametrize("bad", [b"\0\0\0\0", ask_bytes(1), codec.encode_frame(77, 1, b"")])
-def test_what_cannot_be_read_ends_that_connection_once_what_was_read_before_is_answered(
+def test_protocol_error_ends_the_connection_after_earlier_exchanges_are_answered(
     harness: ServerHarness, bad: bytes
 ) -> None:
     (connection, sock), (_, other) = harness.open(), harness.open()
@@ -195,13 +195,13 @@
 
 
 def connect_over_tcp(harness: ServerHarness) -> tuple[Any, Any]:
-    """A caller over TCP, as resets are there, and our end of it."""
+    """Returns a caller's TCP socket, on which resets happen, and the server's connection."""
     caller = socket.create_connection(harness.server.listener.getsockname(), timeout=WAIT_S)
     return caller, harness.server.add_connection(harness.server.listener.accept()[0])
 
 
-def test_bytes_that_were_never_read_destroy_no_answer_on_its_way(harness: ServerHarness) -> None:
-    """A caller brings more than is read after its bad frame, and listens only then."""
+def test_unread_bytes_do_not_destroy_an_answer_being_sent(harness: ServerHarness) -> None:
+    """The caller sends more than is read after its invalid frame and reads only then."""
     caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + b"\0\0\0\0" + bytes(20_000))
     (ticket,) = harness.tickets(1)
@@ -216,7 +216,7 @@
     assert read_frame(caller)[1:] == (1, bytes(4002)) and read_frame(caller) == (0, 0, b"")
 
 
-def test_a_caller_that_shuts_only_its_writing_side_gets_its_answers(harness: ServerHarness) -> None:
+def test_caller_that_shuts_down_only_its_sending_side_gets_its_answers(harness: ServerHarness) -> None:
     caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + ask_bytes(2))
     caller.shutdown(socket.SHUT_WR)
@@ -235,7 +235,7 @@
     assert read_frame(caller) == (0, 0, b"") and connection.end is End.CLOSED
 
 
-def test_a_caller_that_is_gone_altogether_is_told_from_one_that_shut_its_writing_side(
+def test_closed_caller_is_distinguished_from_one_that_shut_down_its_sending_side(
     harness: ServerHarness,
 ) -> None:
     caller, _ = connect_over_tcp(harness)
@@ -245,7 +245,9 @@
     assert harness.core.mailbox.take(WAIT_S * 1000.0) == [CallersLeft([ticket])]
 
 
-def test_half_a_frame_costs_no_exchange_that_was_read_before_it(harness: ServerHarness) -> None:
+def test_incomplete_frame_does_not_close_the_connection_before_earlier_exchanges_are_answered(
+    harness: ServerHarness,
+) -> None:
     connection, sock = harness.open()
     sock.sendall(ask_bytes(1) + ask_bytes(2)[:20])
     (ticket,) = harness.tickets(1)
@@ -260,11 +262,11 @@
 
 @pytest.mark.parametrize("how", ["make_room", "sweep"])
 @pytest.mark.parametrize("what", ["answer", "half"])
-def test_what_is_on_its_way_makes_its_connection_no_idle_one(
+def test_connection_with_partly_sent_answer_or_partly_received_frame_is_not_idle(
     harness: ServerHarness, how: str, what: str
 ) -> None:
-    """The end of what idles comes while an answer still waits for a slow reader, or between two halves of an
-    exchange, of which the first was read."""
+    """Idle connections are closed while an answer still waits for a slow reader, or after the first half
+    of an exchange was read."""
     connection, sock = harness.open()
     sock.sendall(ask_bytes(1) + (ask_bytes(2)[:20] if what == "half" else b""))
     (ticket,) = harness.tickets(1)
@@ -284,9 +286,11 @@
 
 
 @pytest.mark.parametrize("how", ["sweep", "stop_accepting"])
-def test_one_that_is_seen_off_is_not_told_away_over_its_answers(harness: ServerHarness, how: str) -> None:
-    """It brought a bad frame after an exchange, more lies unread, and its side is shut after the answer: what
-    is told to idle connections, or to all at the end of the grace, would break it off."""
+def test_no_go_away_is_sent_after_a_protocol_error_while_answers_are_pending(
+    harness: ServerHarness, how: str
+) -> None:
+    """The caller sent an invalid frame after an exchange, and more lies unread. A GO_AWAY frame, as it is
+    sent to idle connections and to all at the end of the drain grace period, would break the connection off."""
     caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + b"\0\0\0\0")
     (ticket,) = harness.tickets(1)
@@ -306,10 +310,8 @@
 
 
 @pytest.mark.parametrize("how", ["make_room", "sweep"])
-def test_an_exchange_that_lies_unread_makes_its_connection_no_idle_one(
-    harness: ServerHarness, how: str
-) -> None:
-    """It comes after the last read and before the close: the reader has had no turn yet."""
+def test_connection_with_an_unread_exchange_is_not_idle(harness: ServerHarness, how: str) -> None:
+    """The exchange arrives after the last read and before the close; the reader has had no turn yet."""
     caller, connection = connect_over_tcp(harness)
     gevent.sleep(0)
     connection.frames_received, connection.go_away_sent_at_ms = 1, 0.0
@@ -322,7 +324,7 @@
     assert connection.end is None and len(harness.tickets(1)) == 1
 
 
-def test_a_caller_that_goes_away_is_told_to_the_module(harness: ServerHarness) -> None:
+def test_closed_caller_is_reported_to_the_core(harness: ServerHarness) -> None:
     connection, sock = harness.open()
     sock.sendall(ask_bytes(1))
     (ticket,) = harness.tickets(1)
@@ -331,16 +333,16 @@
     assert connection.end is End.CLOSED and not harness.server.connections and not harness.server.callers
 
 
-def test_a_reader_that_stalls_holds_up_nobody_else(harness: ServerHarness) -> None:
+def test_stalled_reader_does_not_delay_others(harness: ServerHarness) -> None:
     (slow, stalled), (_, sock) = harness.open(), harness.open()
     result = bytes(codec.MAX_RESULT_BYTES)
     for first in range(1, 3000, 32):
         stalled.sendall(b"".join(ask_bytes(stream) for stream in range(first, first + 32)))
-        letters = harness.core.mailbox.take(300.0)
-        if not letters:
-            break  # no longer read, as it takes nothing
-        for letter in letters:
-            letter.ticket.answer(Answer(letter.ticket, Verdict.COMPLETED, result))
+        messages = harness.core.mailbox.take(300.0)
+        if not messages:
+            break  # no longer read, as the caller reads nothing
+        for message in messages:
+            message.ticket.answer(Answer(message.ticket, Verdict.COMPLETED, result))
         gevent.sleep(0)
     assert slow.outgoing.capacity <= 262_144
     sock.sendall(ask_bytes(1))
@@ -349,7 +351,7 @@
     assert read_frame(sock)[1] == 1
 
 
-def test_a_reader_that_takes_nothing_for_long_is_closed(harness: ServerHarness) -> None:
+def test_stalled_reader_is_closed_after_the_limit(harness: ServerHarness) -> None:
     connection, _ = harness.open()
     connection.frames_received = 1
     connection.send(bytes(4_000_000))
@@ -362,7 +364,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [
         b"",
         ask_bytes(1)[:20],
@@ -370,21 +372,20 @@
         codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0") + ask_bytes(1)[:3],
     ],
 )
-def test_a_connection_that_brings_no_whole_frame_in_time_is_closed(
-    harness: ServerHarness, said: bytes
-) -> None:
+def test_connection_without_a_complete_frame_in_time_is_closed(harness: ServerHarness, data: bytes) -> None:
     (connection, sock), (sound, other) = harness.open(), harness.open()
-    sock.sendall(said)
+    sock.sendall(data)
     other.sendall(codec.encode_frame(codec.HEALTH_CHECK, 3, b"\0"))
     gevent.sleep(0.02)
-    harness.server.sweep(harness.server.swept_at_ms + 10_000.0)  # we stood still: no fault of theirs
+    # A pause of this process must not count.
+    harness.server.sweep(harness.server.swept_at_ms + 10_000.0)
     harness.run_sweeps(1500.0)
     assert connection.end is None
     harness.run_sweeps(1000.0)
     assert connection.end is End.HALF and sound.end is None
 
 
-def test_a_frame_that_waits_for_us_is_not_late(harness: ServerHarness) -> None:
+def test_frame_delayed_by_a_full_mailbox_is_not_timed_out(harness: ServerHarness) -> None:
     connection, sock = harness.open()
     harness.core.mailbox.bound = 0
     sock.sendall(ask_bytes(1) + ask_bytes(2)[:20])
@@ -393,8 +394,8 @@
     assert connection.end is None
 
 
-def test_a_sender_at_full_speed_leaves_the_others_their_turn(harness: ServerHarness) -> None:
-    """A socket that always has something to read never waits, so its reader must give way by itself."""
+def test_fast_sender_does_not_starve_other_greenlets(harness: ServerHarness) -> None:
+    """A socket that always has data to read never waits, so its reader must yield by itself."""
     connection, _ = harness.open()
     long, turns = ask_bytes(1, body=bytes(codec.MAX_LENGTH_BYTES - 200)), [0]
 
@@ -415,7 +416,7 @@
     reader.kill()
 
 
-def test_a_reset_in_the_middle_of_a_frame_disturbs_nobody_else(harness: ServerHarness) -> None:
+def test_reset_in_the_middle_of_a_frame_does_not_disturb_others(harness: ServerHarness) -> None:
     accept_loop = gevent.spawn(harness.server.run)
     address = harness.server.listener.getsockname()
     broken, sound = socket.create_connection(address), socket.create_connection(address)
@@ -443,7 +444,7 @@
     assert idle.end is End.LEFT and read_frame(sock) == (0, 0, b"")
 
 
-def test_the_listener_closes_once_nothing_more_would_run_and_what_crosses_is_taken(
+def test_listener_closes_after_the_drain_grace_period_and_exchanges_already_sent_are_taken(
     harness: ServerHarness,
 ) -> None:
     _, sock = harness.open()
@@ -458,7 +459,7 @@
     assert len(harness.tickets(1)) == 1
 
 
-def test_what_the_machine_accepted_before_the_listener_closes_is_still_taken(harness: ServerHarness) -> None:
+def test_connection_in_the_backlog_is_served_when_accepting_stops(harness: ServerHarness) -> None:
     with socket.socket() as caller:
         caller.settimeout(WAIT_S)
         caller.connect(harness.server.listener.getsockname())
@@ -467,38 +468,36 @@
         assert len(harness.tickets(1)) == 1
 
 
-def test_a_crowd_at_the_listener_when_it_closes_takes_no_more_descriptors_than_there_are() -> None:
+def test_backlog_is_accepted_within_the_limit_of_connections_when_accepting_stops() -> None:
     with gevent.Timeout(3 * WAIT_S):
         harness = ServerHarness(most=3)
         address = harness.server.listener.getsockname()
-        crowd = [socket.create_connection(address, timeout=WAIT_S) for _ in range(12)]
-        for sock in crowd:
+        callers_in_backlog = [socket.create_connection(address, timeout=WAIT_S) for _ in range(12)]
+        for sock in callers_in_backlog:
             sock.sendall(ask_bytes(1))
         harness.server.stop_accepting()
         answered = 0
-        while answered < len(crowd):
+        while answered < len(callers_in_backlog):
             for ticket in harness.tickets(1):
                 assert len(harness.server.connections) <= 3
                 ticket.answer(Answer(ticket, Verdict.DENIED))
                 answered += 1
-        for sock in crowd:
-            # Each is told to bring no more before or after its answer, and none is reset.
+        for sock in callers_in_backlog:
+            # Each gets GO_AWAY before or after its answer, and none is reset.
             assert {read_frame(sock)[0] for _ in range(2)} == {codec.GO_AWAY, codec.ANSWER}
             sock.close()
         while not harness.server.emptied():
             gevent.sleep(0.001)
 
 
-def test_a_caller_that_waits_at_the_listener_keeps_the_drain_from_its_end() -> None:
+def test_drain_does_not_end_while_a_caller_waits_in_the_backlog() -> None:
     with gevent.Timeout(3 * WAIT_S):
         harness = ServerHarness(most=1)
         address = harness.server.listener.getsockname()
         first, second = (socket.create_connection(address, timeout=WAIT_S) for _ in range(2))
         harness.server.stop_accepting()
         (connection,) = harness.server.connections
-        harness.server.remove_connection(
-            connection
-        )  # between its end and the turn in which the next one is accepted
+        harness.server.remove_connection(connection)  # after its end and before the next one is accepted
         assert not harness.server.connections and not harness.server.emptied()
         second.sendall(ask_bytes(1))
         assert len(harness.tickets(1)) == 1
@@ -508,8 +507,8 @@
             gevent.sleep(0.001)
 
 
-def test_one_that_gave_up_in_the_backlog_costs_those_behind_it_nothing(harness: ServerHarness) -> None:
-    """The listener is asked for the rest of what came, and the first of that has broken off."""
+def test_aborted_connection_in_the_backlog_does_not_lose_those_behind_it(harness: ServerHarness) -> None:
+    """The first connection in the backlog was aborted when accepting stops."""
     real = harness.server.listener
     broken = [ConnectionAbortedError()]
 
@@ -531,34 +530,34 @@
         assert len(harness.tickets(1)) == 1 and real.closed
 
 
-def test_a_crowd_is_accepted_at_a_pace_and_every_health_check_in_it_is_answered(
+def test_reconnect_storm_is_accepted_at_a_limited_rate_and_all_health_checks_are_answered(
     harness: ServerHarness,
 ) -> None:
     harness.server.adopt(Accepting(per_second=100.0, cold_per_second=100.0, burst=4))
     assert harness.server.rate_limiter is not None
     address = harness.server.listener.getsockname()
-    crowd = [socket.create_connection(address, timeout=WAIT_S) for _ in range(40)]
-    for sock in crowd:
+    callers_in_backlog = [socket.create_connection(address, timeout=WAIT_S) for _ in range(40)]
+    for sock in callers_in_backlog:
         sock.sendall(codec.encode_frame(codec.HEALTH_CHECK, 1, b"\0"))
-    accept_loop = gevent.spawn(harness.server.run)  # once all are there, however busy the machine is
-    assert [read_frame(sock)[0] for sock in crowd] == [codec.HEALTH_STATUS] * 40
+    accept_loop = gevent.spawn(harness.server.run)  # once all are in the backlog, however busy the machine is
+    assert [read_frame(sock)[0] for sock in callers_in_backlog] == [codec.HEALTH_STATUS] * 40
     assert harness.server.rate_limiter.delayed_connections > 0
     accept_loop.kill()
 
 
-def test_a_pace_that_is_turned_off_holds_nobody_back(harness: ServerHarness) -> None:
+def test_disabled_accept_rate_limit_delays_nobody(harness: ServerHarness) -> None:
     harness.server.adopt(Accepting(per_second=10.0, cold_per_second=10.0, burst=1))
     harness.server.adopt(None)
     accept_loop = gevent.spawn(harness.server.run)
     address = harness.server.listener.getsockname()
-    crowd = [socket.create_connection(address, timeout=WAIT_S) for _ in range(20)]
-    for sock in crowd:
+    callers = [socket.create_connection(address, timeout=WAIT_S) for _ in range(20)]
+    for sock in callers:
         sock.sendall(codec.encode_frame(codec.HEALTH_CHECK, 1, b"\0"))
-    assert [read_frame(sock)[0] for sock in crowd] == [codec.HEALTH_STATUS] * 20
+    assert [read_frame(sock)[0] for sock in callers] == [codec.HEALTH_STATUS] * 20
     accept_loop.kill()
 
 
-def list_stand_in(listener: Any, heard: list[bytes], replies: list[bytes]) -> None:
+def serve_membership_list(listener: Any, heard: list[bytes], replies: list[bytes]) -> None:
     for reply in replies:
         sock, _ = listener.accept()
         heard.append(sock.recv(4096))
@@ -569,14 +568,14 @@
         sock.close()
 
 
-def test_reports_reach_the_list_and_a_sick_list_only_delays_them() -> None:
+def test_reports_reach_the_membership_list_and_its_failures_only_delay_them() -> None:
     heard: list[bytes] = []
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         good = b"HTTP/1.1 204 No Content\r\n\r\n"
         bad = [b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", b"nonsense\r\n\r\n", b"HTTP/1.1 2", b""]
-        gevent.spawn(list_stand_in, listener, heard, [*bad, good])
+        gevent.spawn(serve_membership_list, listener, heard, [*bad, good])
         roll = Roll(listener.getsockname(), "n3")
         with gevent.Timeout(3 * WAIT_S):
             outcomes = []
@@ -589,7 +588,7 @@
     assert heard[-1].endswith(b'{"phase":"OUT"}') and b"Content-Length: 15\r\n" in heard[-1]
 
 
-def test_a_list_that_never_answers_is_one_failed_report(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_membership_list_is_one_failed_report(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("myrtlecrank.membership_list.client.CALL_S", 0.05)
     with gevent.Timeout(3 * WAIT_S), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
@@ -598,7 +597,7 @@
         assert roll.report(True) is False and roll.sock is None
 
 
-def test_a_change_and_a_move_wait_for_no_answer_that_never_comes() -> None:
+def test_health_change_and_address_change_do_not_wait_for_a_missing_answer() -> None:
     heard: list[bytes] = []
 
     def silent(listener: Any) -> None:
@@ -614,7 +613,7 @@
         roll = Roll(old.getsockname(), "n3")
         actors.append(gevent.spawn(roll.run))
         roll.tell(True)
-        with gevent.Timeout(0.8, AssertionError("the change waited")):
+        with gevent.Timeout(0.8, AssertionError("the health change waited for an answer")):
             while roll.calling is not True or not roll.sent:
                 gevent.sleep(0.001)
             roll.tell(False)
@@ -626,13 +625,13 @@
                 gevent.sleep(0.001)
         assert roll.told is None and not roll.misses
         while roll.told is not False:
-            gevent.sleep(0.01)  # unanswered, but it arrived whole
+            gevent.sleep(0.01)  # a report that was sent whole counts without an answer
         gevent.killall(actors)
-    assert [said[-13:] for said in heard[:2]] == [b'"phase":"UP"}', b'phase":"OUT"}']
+    assert [report[-13:] for report in heard[:2]] == [b'"phase":"UP"}', b'phase":"OUT"}']
 
 
-def test_an_answer_to_an_earlier_report_counts_for_no_later_one() -> None:
-    """A second answer lies on the connection before the next report is written."""
+def test_late_answer_to_an_earlier_report_does_not_count_for_the_next() -> None:
+    """A second answer arrives on the connection before the next report is written."""
     good = b"HTTP/1.1 204 No Content\r\n\r\n"
     with gevent.Timeout(3 * WAIT_S), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
@@ -653,20 +652,20 @@
         assert report.get() is True and roll.told is False
 
 
-def test_what_still_lies_with_a_caller_goes_out_before_the_process_ends(harness: ServerHarness) -> None:
-    """The end comes after the answer was posted and before its actor had a turn; more lies unread."""
+def test_answers_in_the_mailbox_are_sent_before_the_process_ends(harness: ServerHarness) -> None:
+    """The process ends after the answer was posted and before its actor had a turn; more lies unread."""
     caller, _ = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1))
     (ticket,) = harness.tickets(1)
     caller.sendall(ask_bytes(2))
     ticket.answer(Answer(ticket, Verdict.COMPLETED, b"r"))
     harness.server.last_words()
-    # The process still stands: who would speak now learns at once that nobody listens.
+    # The process still runs, but a caller that writes now learns at once that nobody reads.
     assert read_frame(caller) == (codec.ANSWER, 1, b"\0\0r") and read_frame(caller) == (0, 0, b"")
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
-def test_a_system_clock_that_is_set_moves_no_due_time(
+def test_system_clock_step_does_not_move_deadlines(
     harness: ServerHarness, monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
     before, usual = now_ms(), time.time
@@ -678,7 +677,7 @@
     assert 199.0 <= now_ms() - ticket.reached < 5000.0
 
 
-def test_reports_repeat_on_the_beat_once_due_and_never_pile_up() -> None:
+def test_reports_repeat_on_sampling_ticks_once_due_and_never_pile_up() -> None:
     roll = Roll(("127.0.0.1", 1), "n3")
     roll.beat(0.0)
     roll.well, roll.due = True, 0.0
@@ -690,7 +689,7 @@
     assert not roll.mailbox
 
 
-def test_a_list_that_is_away_is_one_failed_report() -> None:
+def test_unreachable_membership_list_is_one_failed_report() -> None:
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         roll = Roll(listener.getsockname(), "n3")
@@ -699,7 +698,9 @@
     assert roll.away
 
 
-def test_one_that_brought_a_bad_frame_makes_room_before_any_idle_one(harness: ServerHarness) -> None:
+def test_connection_with_a_protocol_error_is_closed_for_room_before_an_idle_one(
+    harness: ServerHarness,
+) -> None:
     caller, bad = connect_over_tcp(harness)
     _, idle = connect_over_tcp(harness)
     idle.frames_received, bad.last_used_ms = 1, idle.last_used_ms + 1.0
@@ -711,7 +712,7 @@
     assert harness.server.make_room() and idle.end is None and bad.end is not None
 
 
-def test_what_still_comes_off_a_connection_that_made_room_is_passed_over() -> None:
+def test_frames_of_a_connection_closed_for_room_are_ignored() -> None:
     harness = ServerHarness(most=1)
     connection, sock = harness.open()
     assert harness.server.make_room() and connection.end is End.LEFT
@@ -735,7 +736,7 @@
     return ring
 
 
-def test_a_flood_of_idle_connections_leaves_room_and_busy_ones_stay() -> None:
+def test_flood_of_idle_connections_leaves_room_and_busy_ones_stay() -> None:
     with gevent.Timeout(3 * WAIT_S):
         harness = ServerHarness(most=3)
         accept_loop = gevent.spawn(harness.server.run)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -12,31 +12,31 @@
 from myrtlecrank.frames.ring_buffer import RingBuffer
 
 
-def read(*pieces: bytes) -> list[Any]:
-    ring, out = RingBuffer(16), []
-    decoder = codec.Decoder(ring)
+def decode(*pieces: bytes) -> list[Any]:
+    buffer, frames = RingBuffer(16), []
+    decoder = codec.Decoder(buffer)
     for piece in pieces:
-        ring.append(piece)
-        out += list(decoder.frames())
-        assert ring.capacity < 4 * codec.MAX_BUFFERED_LENGTH_BYTES + 4 * len(piece)
-    return out
+        buffer.append(piece)
+        frames += list(decoder.frames())
+        assert buffer.capacity < 4 * codec.MAX_BUFFERED_LENGTH_BYTES + 4 * len(piece)
+    return frames
 
 
-def test_frames_come_out_the_same_however_their_bytes_are_split() -> None:
+def test_frames_are_the_same_however_their_bytes_are_split() -> None:
     body = bytes(range(256)) * 8
     whole = b"".join(ask_bytes(stream, body=body) for stream in (1, 2, 3))
     whole += codec.encode_frame(codec.HEALTH_CHECK, 9, b"\0")
-    chance = random.Random(1)
+    rng = random.Random(1)
     for _ in range(50):
-        cuts = sorted(chance.sample(range(len(whole)), 20))
+        cuts = sorted(rng.sample(range(len(whole)), 20))
         parts = [whole[a:b] for a, b in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
-        frames = read(*parts)
+        frames = decode(*parts)
         assert [f.stream for f in frames] == [1, 2, 3, 9]
         assert all(f.body == body and f.wait_ms == 480.0 for f in frames[:3])
 
 
-def test_a_long_value_has_a_length_of_two_bytes() -> None:
-    assert read(ask_bytes(1, o="k" * 700))[0].subject == "k" * 700
+def test_value_length_takes_two_bytes() -> None:
+    assert decode(ask_bytes(1, o="k" * 700))[0].subject == "k" * 700
 
 
 @pytest.mark.parametrize(
@@ -65,10 +65,10 @@
         ({"doubled": "t"}, "twice"),
     ],
 )
-def test_what_spoils_one_exchange_leaves_the_next_readable(changes: dict[str, Any], reason: str) -> None:
-    spoiled, sound = read(ask_bytes(7, **changes) + ask_bytes(8))
-    assert isinstance(spoiled, codec.InvalidRequest) and spoiled.stream == 7 and reason in spoiled.reason
-    assert isinstance(sound, codec.Request)
+def test_invalid_request_leaves_the_next_frame_readable(changes: dict[str, Any], reason: str) -> None:
+    invalid, valid = decode(ask_bytes(7, **changes) + ask_bytes(8))
+    assert isinstance(invalid, codec.InvalidRequest) and invalid.stream == 7 and reason in invalid.reason
+    assert isinstance(valid, codec.Request)
 
 
 @pytest.mark.parametrize(
@@ -82,44 +82,44 @@
         codec.encode_frame(codec.HEALTH_CHECK, 1, b"\x01"),
     ],
 )
-def test_what_is_no_frame_breaks_the_connection(raw: bytes) -> None:
+def test_bytes_that_are_not_a_frame_raise_a_protocol_error(raw: bytes) -> None:
     with pytest.raises(codec.ProtocolError):
-        read(raw)
+        decode(raw)
 
 
-def test_fields_that_run_past_their_frame_do_not_reach_into_the_next() -> None:
+def test_fields_longer_than_their_frame_do_not_read_the_next_frame() -> None:
     short = codec.encode_frame(codec.REQUEST, 1, b"\x01\x01i\xff\xff")
-    spoiled, sound = read(short + ask_bytes(2))
-    assert isinstance(spoiled, codec.InvalidRequest) and sound.stream == 2
+    invalid, valid = decode(short + ask_bytes(2))
+    assert isinstance(invalid, codec.InvalidRequest) and valid.stream == 2
 
 
-def test_a_long_frame_is_passed_over_without_being_kept() -> None:
+def test_overlong_frame_is_skipped_without_being_buffered() -> None:
     long = ask_bytes(1, body=bytes(200_000))
-    spoiled, sound = read(*(long[i : i + 1000] for i in range(0, len(long), 1000)), ask_bytes(2))
-    assert isinstance(spoiled, codec.InvalidRequest) and spoiled.stream == 1 and sound.stream == 2
+    invalid, valid = decode(*(long[i : i + 1000] for i in range(0, len(long), 1000)), ask_bytes(2))
+    assert isinstance(invalid, codec.InvalidRequest) and invalid.stream == 1 and valid.stream == 2
 
 
-def test_answers_carry_the_value_and_on_denials_the_advice() -> None:
+def test_answers_carry_the_published_value_and_denials_the_wait_and_last_fields() -> None:
     frame = codec.encode_answer(5, codec.DENIED, 2.5, wait_ms=120.4, is_last=True)
     assert frame == b"\x1a\0\0\0\x0b\x05\0\0\0\x01\x03\x01v\x03\x002.5\x01w\x03\x00120\x01l\x01\x001"
     result = bytes(range(256)) * 16
     assert codec.encode_answer(5, codec.COMPLETED, None, 9.0, True, result)[9:] == b"\0\0" + result
 
 
-def test_the_ring_keeps_order_around_its_end_and_gives_memory_back() -> None:
-    ring, chance, sent, got = RingBuffer(8), random.Random(2), bytearray(), bytearray()
+def test_ring_buffer_keeps_order_when_it_wraps_and_gives_memory_back() -> None:
+    buffer, rng, sent, received = RingBuffer(8), random.Random(2), bytearray(), bytearray()
     for _ in range(500):
-        piece = chance.randbytes(chance.randrange(40))
-        if chance.random() < 0.5:
-            ring.append(piece)
+        piece = rng.randbytes(rng.randrange(40))
+        if rng.random() < 0.5:
+            buffer.append(piece)
         else:
             for byte in piece:
-                ring.writable_view()[:1] = bytes([byte])
-                ring.mark_written(1)
+                buffer.writable_view()[:1] = bytes([byte])
+                buffer.mark_written(1)
         sent += piece
-        got += ring.read(chance.randrange(45))
-    got += ring.read(len(ring))
-    assert got == sent
-    ring.append(bytes(5000))
-    ring.discard(5000)
-    assert ring.capacity == 8
+        received += buffer.read(rng.randrange(45))
+    received += buffer.read(len(buffer))
+    assert received == sent
+    buffer.append(bytes(5000))
+    buffer.discard(5000)
+    assert buffer.capacity == 8
