--- a/myrtlecrank/agent/__init__.py
+++ b/myrtlecrank/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the render farm agent, which does the work."""
+"""The connection to the render farm's agent, which runs the exchanges."""
--- a/myrtlecrank/agent/client.py
+++ b/myrtlecrank/agent/client.py
@@ -1,9 +1,10 @@
-"""The actor of the agent's link: holds it open, opens it again, and passes commands and notices on."""
+"""The client of the agent: keeps a connection to it open and passes commands and notices on."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
+from typing import NamedTuple
 
 import gevent
 from gevent import socket
@@ -27,170 +28,207 @@
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Gauges, Outcome
 
-FIRST_PAUSE, LONGEST_PAUSE = 0.02, 0.25  # seconds between tries to connect
-CONNECT_S = 2.0
-SILENT_BEATS = 15  # once greeted the agent is asked on every beat (100 ms), so it is never silent for long
-ANEW_MS = 1000.0  # that an agent's time is short of what it should be, at the least, if it began anew
-MAILBOX = 4096
-FIRST_READ = 4096  # bytes asked for at a time, more where more comes
+# Pauses between attempts to connect.
+FIRST_PAUSE_S = 0.02
+MAX_PAUSE_S = 0.25
+CONNECT_TIMEOUT_S = 2.0
+MAX_SILENT_TICKS = 15  # a connected agent answers a sample command on every sampling tick (100 ms)
+RESTART_MISSING_MS = 1000.0  # uptime that must at least be missing to count as a restart of the agent
+RESTART_MISSING_SHARE = 0.5  # of the time that passed since the last greeting, which must also be missing
+MAILBOX_MESSAGES = 4096
+READ_BUFFER_BYTES = 4096  # initial size; the buffer grows while more arrives
+MAX_LOGGED_CHARS = 120
+
+
+class _Uptime(NamedTuple):
+    uptime_ms: float
+    read_at_ms: float  # monotonic
 
 
 class Link:
-    def __init__(self, address: tuple[str, int], gauges: list[str], tell: Callable[[Event], None]) -> None:
-        self.address, self.gauges, self.tell = address, gauges, tell
-        self.mailbox: Mailbox[Command] = Mailbox(MAILBOX)
-        self.read = 0  # the last notice that was read
-        self.greeted = self.known_up = False
+    """Reads notices on one greenlet (`run`) and writes commands from its mailbox on another (`write`).
+
+    `gauges` names the fields of Gauges for the values of a sample, in their order; an empty name skips a
+    value.
+    """
+
+    def __init__(
+        self, address: tuple[str, int], gauges: list[str], post_event: Callable[[Event], None]
+    ) -> None:
+        self.address = address
+        self.gauges = gauges
+        self.post_event = post_event
+        self.mailbox: Mailbox[Command] = Mailbox(MAILBOX_MESSAGES)
+        self.last_notice = 0  # the number of the last notice that was read
+        self.is_connected = False  # the agent has sent its greeting on this connection
+        self.was_ever_connected = False
         self.outgoing = RingBuffer()
-        self.heard, self.quiet = False, 0  # since the last beat; beats on which nothing had come
+        self.received_since_check = False
+        self.silent_ticks = 0
         self.sock: socket.socket | None = None
-        self.dropped: End | None = None
-        self.began: tuple[float, float] | None = None  # how long the agent was up, and when that was read
-        self.asked = 0.0  # when the greeting that is waited for was asked for
-        self.anew = False  # it has begun anew since the last greeting that was told
-        self.moved = Flag()  # the address is another than the one tried last
+        self.drop_reason: End | None = None
+        self.last_uptime: _Uptime | None = None
+        self.subscribed_at_ms = 0.0  # monotonic; when the awaited greeting was requested
+        self.has_restarted = False  # the agent has restarted since the last Greeted event
+        self.address_changed = Flag()  # since the last attempt to connect
 
     def run(self) -> None:
-        """Reads the link for as long as the program lives."""
-        pause = FIRST_PAUSE
+        """Connects and reads notices for as long as the program runs."""
+        pause_s = FIRST_PAUSE_S
         while True:
-            self.greeted = False
-            self.dropped = None
-            self.moved.clear()
-            end = self._session()
-            end = self.dropped or end
-            if self.greeted:
-                pause = FIRST_PAUSE
+            self.is_connected = False
+            self.drop_reason = None
+            self.address_changed.clear()
+            end = self._run_session()
+            end = self.drop_reason or end
+            if self.is_connected:
+                pause_s = FIRST_PAUSE_S
                 logger.warning("the agent's link {}", end.value)
-                self.tell(Parted(end))
-            moved = self.moved.wait(pause)
-            pause = FIRST_PAUSE if moved else min(LONGEST_PAUSE, 2.0 * pause)
+                self.post_event(Parted(end))
+            address_changed = self.address_changed.wait(pause_s)
+            pause_s = FIRST_PAUSE_S if address_changed else min(MAX_PAUSE_S, 2.0 * pause_s)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Leaves the old address at once, in whatever state the link is there. What was read counts on: the
-        new link subscribes from it, and what is in doubt is settled as after any link that ended."""
+        """Leaves the old address at once, in whatever state the connection is.
+
+        The numbers of the notices that were read stay valid: the new connection subscribes from the last of
+        them, and exchanges in doubt are settled as after any lost connection.
+        """
         if address != self.address:
             self.address = address
-            self.moved.set()
+            self.address_changed.set()
             self._drop(End.LEFT)
 
     def write(self) -> None:
-        """Writes the commands, many at a time; what finds no link is left to the notices after the next."""
+        """Writes the commands, many at a time.
+
+        While there is no connection, start commands are reported as not sent; of the others the notices after
+        the next connection tell.
+        """
         while True:
-            wanted = self.mailbox.take()
-            sock, ring = self.sock, self.outgoing
-            if sock is None or not self.greeted or self.dropped is not None:
-                unsent = [command.ident for command in wanted if isinstance(command, Launch)]
+            commands = self.mailbox.take()
+            sock, buffer = self.sock, self.outgoing
+            if sock is None or not self.is_connected or self.drop_reason is not None:
+                unsent = [command.ident for command in commands if isinstance(command, Launch)]
                 if unsent:
-                    self.tell(Unsent(unsent))
+                    self.post_event(Unsent(unsent))
                 continue
             try:
-                ring.append(b"".join(map(codec.command, wanted)))
-                while ring:
-                    ring.discard(sock.send(ring.readable_view()))
+                buffer.append(b"".join(map(codec.encode_command, commands)))
+                while buffer:
+                    buffer.discard(sock.send(buffer.readable_view()))
             except OSError as error:
-                if sock is self.sock:  # it may have ended, and another may stand by now
+                if sock is self.sock:  # that connection may have ended, and another may be open by now
                     self._drop(of_error(error))
 
     def look(self, _: float) -> None:
-        """Guards against a link that hangs without closing, in either direction. Before the first greeting
-        silence is in order: the machine may come up long after us. Beats are counted, not time: while we
-        stand still nothing can be heard."""
-        self.quiet = 0 if self.heard or self.sock is None or not self.known_up else self.quiet + 1
-        self.heard = False
-        if self.quiet >= SILENT_BEATS:
+        """Drops a connection that hangs without closing, in either direction; called on each sampling tick.
+
+        Before the first greeting silence is normal, as the machine may come up long after this program. Ticks
+        are counted instead of time: while this process is paused it can receive nothing.
+        """
+        is_silent = not self.received_since_check and self.sock is not None and self.was_ever_connected
+        self.silent_ticks = self.silent_ticks + 1 if is_silent else 0
+        self.received_since_check = False
+        if self.silent_ticks >= MAX_SILENT_TICKS:
             self._drop(End.SILENT)
 
     def _drop(self, end: End) -> None:
-        """The reader wakes, tells the end and opens another."""
-        self.dropped = self.dropped or end
+        """Closes the socket; the reading greenlet wakes, reports the end and connects again."""
+        self.drop_reason = self.drop_reason or end
         if self.sock is not None:
             self.sock.close()
 
-    def _session(self) -> End:
+    def _run_session(self) -> End:
         sock = self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.heard, self.outgoing = True, RingBuffer()
+        self.received_since_check = True
+        self.outgoing = RingBuffer()
         try:
-            sock.settimeout(CONNECT_S)
+            sock.settimeout(CONNECT_TIMEOUT_S)
             sock.connect(self.address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.asked = time.monotonic() * 1000.0
-            sock.sendall(codec.subscribe(self.read))
+            self.subscribed_at_ms = time.monotonic() * 1000.0
+            sock.sendall(codec.encode_subscribe(self.last_notice))
             sock.settimeout(None)  # the machine may come up long after this
-            return self._notices(sock, RingBuffer(FIRST_READ))
+            return self._read_notices(sock, RingBuffer(READ_BUFFER_BYTES))
         except OSError as error:
             return of_error(error)
-        except codec.Broken as error:
+        except codec.ProtocolError as error:
             logger.error("the agent sent {}", error)
             return End.BROKEN
         finally:
             self.sock = None
             sock.close()
 
-    def _notices(self, sock: socket.socket, ring: RingBuffer) -> End:
+    def _read_notices(self, sock: socket.socket, buffer: RingBuffer) -> End:
         while True:
-            room = ring.writable_view()
-            count = sock.recv_into(room)
+            free = buffer.writable_view()
+            count = sock.recv_into(free)
             if count == 0:
                 return End.CLOSED
-            full = count == len(room)
-            ring.mark_written(count)
-            self.heard = True
-            for notice in codec.notices(ring):
-                if isinstance(notice, codec.Greeting) and not self.greeted:
-                    if self._began_anew(notice.up):
-                        # Its notices are numbered from 1 again, which what was read before would hide.
-                        self.read, self.anew = 0, True
+            was_filled = count == len(free)
+            buffer.mark_written(count)
+            self.received_since_check = True
+            for notice in codec.decode_notices(buffer):
+                if isinstance(notice, codec.GreetingNotice) and not self.is_connected:
+                    if self._detect_restart(notice.uptime_ms):
+                        # A restarted agent numbers its notices from 1 again. Subscribing from the last number
+                        # would hide them.
+                        self.last_notice = 0
+                        self.has_restarted = True
                         return End.LEFT
-                    self.greeted = self.known_up = True
-                self.notice(notice)
-            if full:
-                gevent.sleep(0)  # after a break thousands may come at once: the others get their turn
-
-    def _began_anew(self, up: float) -> bool:
-        """Whether the agent is up for far less than it should be by what it said before. Guards against
-        taking a greeting that was read late for a new start: of the time between two of them counts what
-        surely passed, from when the first was read to when the second was asked for."""
-        missing = 0.0
-        if self.began is not None:
-            passed = max(0.0, self.asked - self.began[1])
-            missing = self.began[0] + passed - up
-            missing = missing if missing > 0.5 * passed else 0.0
-        self.began = up, time.monotonic() * 1000.0
-        return missing > ANEW_MS
-
-    def notice(self, notice: codec.Notice) -> None:
+                    self.is_connected = self.was_ever_connected = True
+                self.handle_notice(notice)
+            if was_filled:
+                gevent.sleep(0)  # thousands may arrive at once after a disconnection: others get their turn
+
+    def _detect_restart(self, uptime_ms: float) -> bool:
+        """Whether the agent has been up for far less than its last greeting implies.
+
+        A greeting that is read late must not look like a restart. Of the time between two greetings only the
+        part that surely passed counts: from reading the first to requesting the second.
+        """
+        missing_ms = 0.0
+        if self.last_uptime is not None:
+            passed_ms = max(0.0, self.subscribed_at_ms - self.last_uptime.read_at_ms)
+            missing_ms = self.last_uptime.uptime_ms + passed_ms - uptime_ms
+            missing_ms = missing_ms if missing_ms > RESTART_MISSING_SHARE * passed_ms else 0.0
+        self.last_uptime = _Uptime(uptime_ms, time.monotonic() * 1000.0)
+        return missing_ms > RESTART_MISSING_MS
+
+    def handle_notice(self, notice: codec.Notice) -> None:
+        """Posts the event that a notice stands for; a numbered notice counts once."""
         match notice:
-            case codec.Greeting(cold, up):
-                self.tell(Greeted(cold, up, self.anew))
-                self.anew = False
-            case codec.Ended(number, ident, outcome, took, result):
-                if self._new(number):
-                    self.tell(RunEnded(ident, outcome, took, result))
-            case codec.Needs(number, ident, body):
-                if self._new(number):
-                    self.tell(AtCall(ident, body))
-            case codec.Gauged(tag, values):
-                told = Gauges()
+            case codec.GreetingNotice(is_cold, uptime_ms):
+                self.post_event(Greeted(is_cold, uptime_ms, self.has_restarted))
+                self.has_restarted = False
+            case codec.OutcomeNotice(number, exchange_id, outcome, duration_ms, result):
+                if self._claim_number(number):
+                    self.post_event(RunEnded(exchange_id, outcome, duration_ms, result))
+            case codec.RequestNotice(number, exchange_id, body):
+                if self._claim_number(number):
+                    self.post_event(AtCall(exchange_id, body))
+            case codec.SampledNotice(tag, values):
+                gauges = Gauges()
                 for name, value in zip(self.gauges, values, strict=False):
                     if name:
-                        setattr(told, name, value)
-                self.tell(Sampled(tag, told))
-            case codec.Refused(command, ident):
-                logger.warning("the agent refused to {} {}", command, ident)
-                # A launch that was refused ran nothing; a run that it does not know has ended.
+                        setattr(gauges, name, value)
+                self.post_event(Sampled(tag, gauges))
+            case codec.RefusalNotice(command, exchange_id):
+                logger.warning("the agent refused the command {} for exchange {}", command, exchange_id)
+                # A refused start ran nothing; a run that the agent doesn't know has ended.
                 if command == "launch":
-                    self.tell(RunEnded(ident, Outcome.MOOT, 0.0, b"", refused=True))
+                    self.post_event(RunEnded(exchange_id, Outcome.MOOT, 0.0, b"", refused=True))
                 elif command == "freeze":
-                    self.tell(RunEnded(ident, Outcome.CANCELLED, 0.0, b""))
-            case codec.Aside(number):
-                self._new(number)
-            case codec.Unknown(line):
-                logger.warning("a notice that is not known: {!r}", line[:120])
-
-    def _new(self, number: int) -> bool:
-        """Guards against notices that come once more after a link was opened again."""
-        if number <= self.read:
+                    self.post_event(RunEnded(exchange_id, Outcome.CANCELLED, 0.0, b""))
+            case codec.AsideNotice(number):
+                self._claim_number(number)
+            case codec.UnknownNotice(line):
+                logger.warning("the agent sent an unknown notice: {!r}", line[:MAX_LOGGED_CHARS])
+
+    def _claim_number(self, number: int) -> bool:
+        """Marks a notice as read. Returns False if it was read before, as after a new connection."""
+        if number <= self.last_notice:
             return False
-        self.read = number
+        self.last_notice = number
         return True
--- a/myrtlecrank/agent/codec.py
+++ b/myrtlecrank/agent/codec.py
@@ -1,4 +1,8 @@
-"""Codec of the agent's link: lines of words that end in CR LF, some followed by counted bytes and CR LF."""
+"""Codec of the agent's protocol.
+
+A line is words that end in CR LF. Some lines are followed by as many bytes as their last word counts, and CR
+LF.
+"""
 
 from __future__ import annotations
 
@@ -10,145 +14,178 @@
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
-LONGEST_LINE, LONGEST_RESULT = 65_536, 1_048_576
-ENDS = {
+MAX_LINE_BYTES = 65_536
+MAX_RESULT_BYTES = 1_048_576
+MAX_COUNT_DIGITS = 9
+LINE_END = b"\r\n"
+LINE_END_BYTES = 2
+OUTCOMES = {
     "PASS": Outcome.OK,
     "FAIL": Outcome.ERROR,
     "KILLED": Outcome.CANCELLED,
     "NOOP": Outcome.MOOT,
 }
-COUNTED = {"outcome": 6, "request": 4}  # notices whose last word is a length, and the words they have
-STATES = {"EMPTY": True, "LOADED": False}  # whether the machine is cold
+# The notices that are followed by counted bytes, and the number of words in their lines.
+COUNTED_NOTICE_WORDS = {"outcome": 6, "request": 4}
+IS_COLD = {"EMPTY": True, "LOADED": False}  # by the machine's state in a greeting
 
 
 @dataclass(slots=True)
-class Greeting:
-    cold: bool
-    up: float
+class GreetingNotice:
+    """The reply to a subscription: whether the machine's stores are cold, and for how long it has been up."""
+
+    is_cold: bool
+    uptime_ms: float
 
 
 @dataclass(slots=True)
-class Ended:
+class OutcomeNotice:
+    """The end of a run."""
+
     number: int
-    ident: str
+    exchange_id: str
     outcome: Outcome
-    took: float
+    duration_ms: float
     result: bytes
 
 
 @dataclass(slots=True)
-class Needs:
-    """A run stands at a call to the layer below."""
+class RequestNotice:
+    """A run waits for a call to the dependency; `body` is what the call asks."""
 
     number: int
-    ident: str
+    exchange_id: str
     body: bytes
 
 
 @dataclass(slots=True)
-class Gauged:
+class SampledNotice:
+    """Gauges of the machine, in the order of the configuration."""
+
     tag: str
     values: list[float]
 
 
 @dataclass(slots=True)
-class Refused:
+class RefusalNotice:
+    """The agent refused a command."""
+
     command: str
-    ident: str
+    exchange_id: str
 
 
 @dataclass(slots=True)
-class Aside:
+class AsideNotice:
+    """A numbered notice that means nothing to this program."""
+
     number: int
 
 
 @dataclass(slots=True)
-class Unknown:
+class UnknownNotice:
+    """A line that is not a notice."""
+
     line: str
 
 
-Notice = Greeting | Ended | Needs | Gauged | Refused | Aside | Unknown
+Notice = (
+    GreetingNotice
+    | OutcomeNotice
+    | RequestNotice
+    | SampledNotice
+    | RefusalNotice
+    | AsideNotice
+    | UnknownNotice
+)
+
 
+class ProtocolError(Exception):
+    """The bytes are not lines of the protocol; nothing more can be read on this connection."""
 
-class Broken(Exception):
-    """The link no longer carries lines."""
 
+def decode_notices(buffer: RingBuffer) -> Iterator[Notice]:
+    """Takes the complete notices off the buffer. Raises ProtocolError where the bytes are not lines.
 
-def notices(ring: RingBuffer) -> Iterator[Notice]:
-    """Takes the whole notices off the ring; all that is there is copied once, however many they are."""
-    raw, at = ring.peek(len(ring)), 0
+    The contents are copied once, however many notices they hold.
+    """
+    raw, at = buffer.peek(len(buffer)), 0
     try:
         while True:
-            end = raw.find(b"\r\n", at)
+            end = raw.find(LINE_END, at)
             if end < 0:
-                if len(raw) - at > LONGEST_LINE:
-                    raise Broken("a line without an end")
+                if len(raw) - at > MAX_LINE_BYTES:
+                    raise ProtocolError(f"a line of more than {MAX_LINE_BYTES} bytes without an end")
                 return
-            line, after = raw[at:end], end + 2
+            line, after = raw[at:end], end + LINE_END_BYTES
             words = line.decode("utf-8", "replace").split(" ")
             result = b""
-            # Guards against a body that reads like notices: whatever it holds is passed over by its length.
-            if len(words) == COUNTED.get(words[0]):
-                size = _count(words[-1], LONGEST_RESULT)
-                after += size + 2
+            # A body is skipped by its length, as it may hold bytes that read like notices.
+            if len(words) == COUNTED_NOTICE_WORDS.get(words[0]):
+                size = _decode_count(words[-1], MAX_RESULT_BYTES)
+                after += size + LINE_END_BYTES
                 if len(raw) < after:
                     return
-                if raw[after - 2 : after] != b"\r\n":
-                    raise Broken("a result that does not end where it should")
-                result = raw[end + 2 : after - 2]
+                if raw[after - LINE_END_BYTES : after] != LINE_END:
+                    raise ProtocolError(f"a result of {size} bytes that is not followed by CR LF")
+                result = raw[end + LINE_END_BYTES : after - LINE_END_BYTES]
             at = after
-            yield _notice(words, result, line)
+            yield _decode_notice(words, result, line)
     finally:
-        ring.discard(at)
+        buffer.discard(at)
 
 
-def _count(word: str, top: int) -> int:
-    if not word.isascii() or not word.isdigit() or len(word) > 9 or int(word) > top:
-        raise Broken(f"a length that reads {word[:40]!r}")
+def _decode_count(word: str, limit: int) -> int:
+    is_number = word.isascii() and word.isdigit() and len(word) <= MAX_COUNT_DIGITS
+    if not is_number or int(word) > limit:
+        raise ProtocolError(f"a length that reads {word[:40]!r}, expected 0 to {limit}")
     return int(word)
 
 
-def _notice(words: list[str], result: bytes, line: bytes) -> Notice:
+def _decode_notice(words: list[str], result: bytes, line: bytes) -> Notice:
     try:
         match words:
-            case ["outcome", number, ident, end, took, *_]:
-                return Ended(int(number), ident, ENDS[end], _figure(took), result)
-            case ["request", number, ident, _]:
-                return Needs(int(number), ident, result)
+            case ["outcome", number, exchange_id, outcome, duration_ms, *_]:
+                return OutcomeNotice(
+                    int(number), exchange_id, OUTCOMES[outcome], _decode_number(duration_ms), result
+                )
+            case ["request", number, exchange_id, _]:
+                return RequestNotice(int(number), exchange_id, result)
             case ["sampled", tag, *values]:
-                return Gauged(tag, [_figure(value) for value in values])
-            case ["greeting", state, up]:
-                return Greeting(STATES[state], _figure(up))
-            case ["refusal", command, ident, *_]:
-                return Refused(command, ident)
+                return SampledNotice(tag, [_decode_number(value) for value in values])
+            case ["greeting", state, uptime_ms]:
+                return GreetingNotice(IS_COLD[state], _decode_number(uptime_ms))
+            case ["refusal", command, exchange_id, *_]:
+                return RefusalNotice(command, exchange_id)
             case ["aside", number, *_]:
-                return Aside(int(number))
+                return AsideNotice(int(number))
     except (KeyError, ValueError):
         pass
-    return Unknown(line.decode("utf-8", "replace"))
+    return UnknownNotice(line.decode("utf-8", "replace"))
 
 
-def _figure(word: str) -> float:
-    """Guards means and gauges, which a `nan` would spoil for good."""
+def _decode_number(word: str) -> float:
+    """Returns a finite number that is not negative: a single `nan` would spoil means and gauges for good."""
     value = float(word)
     if not isfinite(value) or value < 0.0:
-        raise ValueError(word)
+        raise ValueError(f"expected a finite number of 0 or more, found {word!r}")
     return value
 
 
-def subscribe(read: int) -> bytes:
-    return b"subscribe %d\r\n" % read
+def encode_subscribe(last_notice: int) -> bytes:
+    """Returns the command that subscribes to all notices after the given number."""
+    return b"subscribe %d\r\n" % last_notice
 
 
-def command(wanted: Command) -> bytes:
-    match wanted:
-        case Launch(ident, group, body):
-            return b"launch %b %b %d\r\n%b\r\n" % (ident.encode(), group.encode(), len(body), body)
-        case Freeze(ident):
-            return b"freeze %b\r\n" % ident.encode()
+def encode_command(command: Command) -> bytes:
+    """Returns a command as its line, with the body where it has one."""
+    match command:
+        case Launch(exchange_id, group, body):
+            return b"launch %b %b %d\r\n%b\r\n" % (exchange_id.encode(), group.encode(), len(body), body)
+        case Freeze(exchange_id):
+            return b"freeze %b\r\n" % exchange_id.encode()
         case Sample(tag):
             return b"sample %b\r\n" % tag.encode()
-        case Deliver(ident, result):
-            return b"deliver %b %d\r\n%b\r\n" % (ident.encode(), len(result), result)
-        case Forgo(ident):
-            return b"forgo %b\r\n" % ident.encode()
+        case Deliver(exchange_id, result):
+            return b"deliver %b %d\r\n%b\r\n" % (exchange_id.encode(), len(result), result)
+        case Forgo(exchange_id):
+            return b"forgo %b\r\n" % exchange_id.encode()
--- a/myrtlecrank/edge/caller.py
+++ b/myrtlecrank/edge/caller.py
@@ -104,7 +104,7 @@
             connection.reject(request.stream, "an arrival time in the future or too long a waiting time")
             return
         ticket = connection.open_streams[request.stream] = Ticket(
-            ident=request.ident,
+            ident=request.exchange_id,
             group=group,
             tenant=tenant,
             reached=connection.last_used_ms - age_ms,
--- a/myrtlecrank/frames/codec.py
+++ b/myrtlecrank/frames/codec.py
@@ -20,7 +20,7 @@
 MAX_KEY_BYTES = 256
 MAX_OPEN_STREAMS = 32  # exchanges that one connection may carry at a time
 
-IDENT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+EXCHANGE_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,15}")
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
 
@@ -57,7 +57,7 @@
 
     stream: int
     group: str
-    ident: str
+    exchange_id: str
     arrived_at_ms: float  # Unix time at which it reached the machine
     caller: int
     tenant: str | None
@@ -223,9 +223,9 @@
 def _decode_request(stream: int, raw: bytes) -> Request | InvalidRequest:
     try:
         fields, at = _decode_fields(raw)
-        ident = fields.get(b"i", b"")
-        if not IDENT_PATTERN.fullmatch(ident):
-            raise _InvalidPayload(f"the field 'i' that reads {ident[:40]!r}, expected 16 hex digits")
+        exchange_id = fields.get(b"i", b"")
+        if not EXCHANGE_ID_PATTERN.fullmatch(exchange_id):
+            raise _InvalidPayload(f"the field 'i' that reads {exchange_id[:40]!r}, expected 16 hex digits")
         if b"c" not in fields:
             raise _InvalidPayload("no field 'c'")
         if len(raw) - at > MAX_REQUEST_BODY_BYTES:
@@ -241,7 +241,7 @@
         return Request(
             stream,
             group=fields[b"c"].decode(),
-            ident=ident.decode(),
+            exchange_id=exchange_id.decode(),
             arrived_at_ms=_number_field(fields, b"s", INTEGER_PATTERN, UNIX_MS_LIMIT),
             caller=int(_number_field(fields, b"f", INTEGER_PATTERN, CALLER_ID_LIMIT)),
             tenant=None if tenant is None else tenant.decode(),
@@ -287,21 +287,21 @@
     stream: int,
     code: int,
     published_value: float | None,
-    wait_ms: float = 0.0,
-    is_last: bool = False,
+    retry_after_ms: float = 0.0,
+    no_other_backend: bool = False,
     body: bytes = b"",
 ) -> bytes:
     """Returns the final answer to an exchange.
 
-    `wait_ms` (how long the caller stays away) and `is_last` (it tries no other backend) are sent only with a
-    denial.
+    `retry_after_ms`, how long the caller stays away, and `no_other_backend`, which asks it not to retry at
+    another backend, are sent only with a denial.
     """
     if code != DENIED:
         return encode_frame(ANSWER, stream, _answer_prefix(code, published_value) + body)
     fields = _value_fields(published_value)
-    if wait_ms > 0:
-        fields["w"] = str(max(1, round(wait_ms)))
-    if is_last:
+    if retry_after_ms > 0:
+        fields["w"] = str(max(1, round(retry_after_ms)))
+    if no_other_backend:
         fields["l"] = "1"
     return encode_frame(ANSWER, stream, bytes([code]) + _encode_fields(fields) + body)
 
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 from helpers import Play, group
 
-from myrtlecrank.agent.codec import Ended, Needs, command, notices
+from myrtlecrank.agent.codec import OutcomeNotice, RequestNotice, decode_notices, encode_command
 from myrtlecrank.core.connection_errors import End
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.messages import (
@@ -48,15 +48,18 @@
     ring, told = RingBuffer(), []
     for at in range(0, len(raw), step):
         ring.append(raw[at : at + step])
-        told += list(notices(ring))
-    assert told == [Needs(3, "aa", FORGED), Ended(4, "aa", Outcome.OK, 5.0, b"r")]
+        told += list(decode_notices(ring))
+    assert told == [RequestNotice(3, "aa", FORGED), OutcomeNotice(4, "aa", Outcome.OK, 5.0, b"r")]
 
 
 def test_commands_and_replies() -> None:
     assert codec.command(Call("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
     assert codec.command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
     assert codec.command(Abandon("aa")) == b"UNOP aa\r\n"
-    assert command(Deliver("aa", b"x\r\n")) + command(Forgo("aa")) == b"deliver aa 3\r\nx\r\n\r\nforgo aa\r\n"
+    assert (
+        encode_command(Deliver("aa", b"x\r\n")) + encode_command(Forgo("aa"))
+        == b"deliver aa 3\r\nx\r\n\r\nforgo aa\r\n"
+    )
     ring = RingBuffer()
     ring.append(b"aa DONE 3\r\nx\r\n\r\nbb WAIT 30\r\ncc ERROR\r\ndd PAST\r\nee EMPTY\r\nff DONE 9\r\nshort")
     assert [(r.ident, r.outcome, r.result) for r in codec.replies(ring)] == [
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -290,7 +290,7 @@
     harness: ServerHarness, how: str
 ) -> None:
     """The caller sent an invalid frame after an exchange, and more lies unread. A GO_AWAY frame, as it is
-    sent to idle connections and to all at the end of the drain grace period, would break the connection off."""
+    sent to idle connections and to all at the end of the drain grace period, would break it off."""
     caller, connection = connect_over_tcp(harness)
     caller.sendall(ask_bytes(1) + b"\0\0\0\0")
     (ticket,) = harness.tickets(1)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -100,7 +100,7 @@
 
 
 def test_answers_carry_the_published_value_and_denials_the_wait_and_last_fields() -> None:
-    frame = codec.encode_answer(5, codec.DENIED, 2.5, wait_ms=120.4, is_last=True)
+    frame = codec.encode_answer(5, codec.DENIED, 2.5, retry_after_ms=120.4, no_other_backend=True)
     assert frame == b"\x1a\0\0\0\x0b\x05\0\0\0\x01\x03\x01v\x03\x002.5\x01w\x03\x00120\x01l\x01\x001"
     result = bytes(range(256)) * 16
     assert codec.encode_answer(5, codec.COMPLETED, None, 9.0, True, result)[9:] == b"\0\0" + result
