--- a/myrtlecrank/dependency/__init__.py
+++ b/myrtlecrank/dependency/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the layer below, which exchanges call while they run."""
+"""The connection to the dependency, which exchanges call while they run."""
--- a/myrtlecrank/dependency/client.py
+++ b/myrtlecrank/dependency/client.py
@@ -1,4 +1,4 @@
-"""The actor of the link below: writes calls, reads how they ended, opens the link again when it is lost."""
+"""The client of the dependency: writes calls, reads how they ended and reconnects after a loss."""
 
 from __future__ import annotations
 
@@ -15,169 +15,196 @@
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
-MAILBOX = 4096
-CONNECT_S = 1.0
-PAUSE_S = 0.02  # between tries to connect
-UNSENT_MS = 1000.0  # the longest that a call waits for a link before it counts as never having left
-OVERDUE_MS, OVERDUE_BEATS = 200.0, 10  # past its time a call is looked for on so many beats
-BEAT_MS = 100.0
-SILENT_CALLS, FADES = 2.0, 0.95  # longest calls that a link may be silent for; how they fade
-FIRST_READ = 4096
+MAILBOX_MESSAGES = 4096
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_PAUSE_S = 0.02
+MAX_CONNECT_MS = 1000.0  # the longest that a call waits for a connection before it counts as not sent
+# A call counts as lost when it is OVERDUE_MS past its time limit on more than so many sampling ticks.
+OVERDUE_MS = 200.0
+MAX_OVERDUE_TICKS = 10
+TICK_MS = 100.0
+MAX_SILENT_CALLS = 2.0  # durations of the longest recent call for which a connection may be silent
+LONGEST_CALL_DECAY = 0.95  # of the longest recent call, for each reply
+READ_BUFFER_BYTES = 4096  # initial size; the buffer grows while more arrives
 
 
-class Wire:
-    """One connection and the calls that are out on it."""
+class DependencyConnection:
+    """One connection and the calls that are pending on it."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.out: dict[str, tuple[float, float]] = {}  # when each went out, and is over at the latest
-        self.late_beats = self.quiet_beats = 0  # since a call is overdue; since a word came
-        self.writing = False
-        self.dropped: End | None = None
+        # For each call, by the exchange's identifier: when it was sent and when it is due at the latest.
+        self.pending_calls: dict[str, tuple[float, float]] = {}
+        self.overdue_ticks = 0  # since a call is overdue
+        self.silent_ticks = 0  # since a reply was received
+        self.is_writing = False
+        self.drop_reason: End | None = None
 
     def drop(self, end: End) -> None:
-        """Its reader wakes and tells what became of the calls."""
-        self.dropped = self.dropped or end
+        """Closes the socket; the reading greenlet wakes and reports the pending calls as lost."""
+        self.drop_reason = self.drop_reason or end
         self.sock.close()
 
 
 class BelowLink:
-    def __init__(self, address: tuple[str, int], tell: Callable[[Event], None], patience: float) -> None:
-        """`patience`: ms without a word that are in order, however quick calls have been so far."""
-        self.address, self.tell, self.patience = address, tell, patience
-        self.longest = 0.0  # ms that calls took of late
-        self.mailbox: Mailbox[Below] = Mailbox(MAILBOX)
-        self.wire: Wire | None = None
-        self.wires: dict[Wire, None] = {}  # those left behind, too, while calls are out on them
+    """Writes the commands from its mailbox; many calls share one connection.
+
+    `silence_limit_ms` is the time without a reply that is normal, however quick recent calls were.
+    """
+
+    def __init__(
+        self, address: tuple[str, int], post_event: Callable[[Event], None], silence_limit_ms: float
+    ) -> None:
+        self.address = address
+        self.post_event = post_event
+        self.silence_limit_ms = silence_limit_ms
+        self.longest_call_ms = 0.0  # of recent calls
+        self.mailbox: Mailbox[Below] = Mailbox(MAILBOX_MESSAGES)
+        self.connection: DependencyConnection | None = None  # for new calls
+        # Includes connections to earlier addresses while calls are pending on them.
+        self.connections: dict[DependencyConnection, None] = {}
         self.now = 0.0
-        self.away = False
+        self.is_unreachable = False
 
     def run(self) -> None:
-        """Writes what is wanted; many calls share one connection."""
+        """Writes the commands and connects when a call needs it."""
         while True:
-            wanted = self.mailbox.take()
-            wire = self.wire
-            if wire is not None and wire.dropped is not None:
-                wire = None  # its reader has not woken yet; what were put out on it would seem to have left
-            if wire is None and any(isinstance(one, Call) for one in wanted):
-                wire = self._open(max(one.timeout for one in wanted if isinstance(one, Call)))
-            self._share_out(wire, wanted)
-
-    def _share_out(self, wire: Wire | None, wanted: list[Below]) -> None:
-        """Calls go out on `wire`; one that is given up is so on the link that it is out on, which may be one
-        that was left behind."""
-        rings: dict[Wire, RingBuffer] = {}
-        for one in wanted:
-            # A call is out before its first byte: once the write has begun nothing proves that it never came.
-            if isinstance(one, Abandon):
-                holder = next((other for other in self.wires if one.ident in other.out), None)
-                if holder is None:
+            commands = self.mailbox.take()
+            connection = self.connection
+            if connection is not None and connection.drop_reason is not None:
+                # Its reader has not woken yet: calls written to it now would seem to have been sent.
+                connection = None
+            if connection is None and any(isinstance(command, Call) for command in commands):
+                longest_ms = max(command.timeout for command in commands if isinstance(command, Call))
+                connection = self._connect(longest_ms)
+            self._distribute(connection, commands)
+
+    def _distribute(self, connection: DependencyConnection | None, commands: list[Below]) -> None:
+        """Writes calls to `connection`, and abandons a call on the connection on which it is pending."""
+        buffers: dict[DependencyConnection, RingBuffer] = {}
+        for command in commands:
+            # A call is pending before its first byte is written: from then on nothing proves that it did not
+            # arrive.
+            if isinstance(command, Abandon):
+                target = next(
+                    (other for other in self.connections if command.ident in other.pending_calls), None
+                )
+                if target is None:
                     continue
-                del holder.out[one.ident]
-            elif wire is None:
-                self.tell(CallEnded(one.ident, Outcome.UNREACHED, b""))
+                del target.pending_calls[command.ident]
+            elif connection is None:
+                self.post_event(CallEnded(command.ident, Outcome.UNREACHED, b""))
                 continue
             else:
-                holder = wire
-                wire.out[one.ident] = self.now, self.now + one.timeout
-            rings.setdefault(holder, RingBuffer()).append(codec.command(one))
-        for holder, ring in rings.items():
-            self._write(holder, ring)
-            if holder is not self.wire and not holder.out:
-                holder.drop(End.LEFT)  # nothing comes back on it any more that anybody waits for
-
-    def _write(self, wire: Wire, ring: RingBuffer) -> None:
-        wire.writing = True
+                target = connection
+                connection.pending_calls[command.ident] = self.now, self.now + command.timeout
+            buffers.setdefault(target, RingBuffer()).append(codec.encode_command(command))
+        for target, buffer in buffers.items():
+            self._write(target, buffer)
+            if target is not self.connection and not target.pending_calls:
+                target.drop(End.LEFT)  # of an earlier address, and no reply is awaited on it any more
+
+    def _write(self, connection: DependencyConnection, buffer: RingBuffer) -> None:
+        connection.is_writing = True
         try:
-            while ring:
-                ring.discard(wire.sock.send(ring.readable_view()))
+            while buffer:
+                buffer.discard(connection.sock.send(buffer.readable_view()))
         except OSError as error:
-            wire.drop(of_error(error))
-        wire.writing = False
+            connection.drop(of_error(error))
+        connection.is_writing = False
 
-    def _open(self, patience: float) -> Wire | None:
-        """A connection, tried for as long as the calls can wait for one."""
-        tried = 0.0
-        while tried < min(UNSENT_MS, patience):
+    def _connect(self, max_wait_ms: float) -> DependencyConnection | None:
+        """Tries to connect for as long as the calls can wait for a connection."""
+        waited_ms = 0.0
+        while waited_ms < min(MAX_CONNECT_MS, max_wait_ms):
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             try:
-                sock.settimeout(CONNECT_S)
+                sock.settimeout(CONNECT_TIMEOUT_S)
                 sock.connect(self.address)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             except OSError as error:
                 sock.close()
-                if not self.away:
+                if not self.is_unreachable:
                     logger.warning("the layer below: {}", of_error(error).value)
-                self.away = True
-                tried += CONNECT_S * 1000.0 if of_error(error) is End.SILENT else PAUSE_S * 1000.0
-                gevent.sleep(PAUSE_S)
+                self.is_unreachable = True
+                timed_out = of_error(error) is End.SILENT
+                waited_ms += CONNECT_TIMEOUT_S * 1000.0 if timed_out else RECONNECT_PAUSE_S * 1000.0
+                gevent.sleep(RECONNECT_PAUSE_S)
                 continue
             sock.settimeout(None)
-            if self.away:
+            if self.is_unreachable:
                 logger.info("the layer below answers again")
-            self.away = False
-            self.wire = wire = Wire(sock)
-            self.wires[wire] = None
-            gevent.spawn(self._read, wire)
-            return wire
+            self.is_unreachable = False
+            self.connection = connection = DependencyConnection(sock)
+            self.connections[connection] = None
+            gevent.spawn(self._read, connection)
+            return connection
         return None
 
     def move(self, address: tuple[str, int]) -> None:
-        """New calls go to the new address; what is out on the old one may still come back from there."""
+        """Sends new calls to the new address; replies to pending calls may still come from the old one."""
         if address == self.address:
             return
         self.address = address
-        wire, self.wire = self.wire, None
-        if wire is not None and not wire.out:
-            wire.drop(End.LEFT)
+        connection, self.connection = self.connection, None
+        if connection is not None and not connection.pending_calls:
+            connection.drop(End.LEFT)
 
     def look(self, now: float) -> None:
-        """Guards against a layer that never says how a call ended, and a link that hangs: most calls are
-        abandoned when their exchange is due, no later than they are themselves, so a link is known by silence
-        alone. Beats are counted, not time: while we stand still nothing can be heard."""
+        """Drops connections on which a call is not answered or that hang; called on each sampling tick.
+
+        Most calls are abandoned when their exchange is due, which is no later than their own time limit, so a
+        hung connection is recognized by silence alone. Ticks are counted instead of time: while this process
+        is paused it can receive nothing.
+        """
         self.now = now
-        for wire in list(self.wires):
-            late = bool(wire.out) and now > min(until for _, until in wire.out.values()) + OVERDUE_MS
-            wire.late_beats = wire.late_beats + 1 if late else 0
-            # A write that stands still counts too: where all that it gives up was all that was out, nothing
-            # else would end it, and it holds up every call behind it.
-            wire.quiet_beats = wire.quiet_beats + 1 if wire.out or wire.writing else 0
-            quiet = wire.quiet_beats * BEAT_MS > max(self.patience, SILENT_CALLS * self.longest)
-            if quiet or wire.late_beats > OVERDUE_BEATS:
-                wire.drop(End.SILENT)
-
-    def _read(self, wire: Wire) -> None:
-        end = self._replies(wire)
-        end = wire.dropped or end
-        wire.sock.close()
-        self.wires.pop(wire, None)
-        if self.wire is wire:
-            self.wire = None
-        if wire.out:
-            logger.warning("the link below {} with {} calls out", end.value, len(wire.out))
-        lost = Outcome.RESET if end in (End.UNREACHED, End.LEFT) else OUTCOMES[end]
-        for ident in wire.out:
-            self.tell(CallEnded(ident, lost, b""))
-        wire.out.clear()
-
-    def _replies(self, wire: Wire) -> End:
-        ring = RingBuffer(FIRST_READ)
+        for connection in list(self.connections):
+            calls = connection.pending_calls
+            is_overdue = bool(calls) and now > min(due for _, due in calls.values()) + OVERDUE_MS
+            connection.overdue_ticks = connection.overdue_ticks + 1 if is_overdue else 0
+            # A write that hangs counts too: if it abandons the last pending calls, nothing else would end it,
+            # and it blocks every later call.
+            awaits_progress = calls or connection.is_writing
+            connection.silent_ticks = connection.silent_ticks + 1 if awaits_progress else 0
+            silence_limit_ms = max(self.silence_limit_ms, MAX_SILENT_CALLS * self.longest_call_ms)
+            is_silent = connection.silent_ticks * TICK_MS > silence_limit_ms
+            if is_silent or connection.overdue_ticks > MAX_OVERDUE_TICKS:
+                connection.drop(End.SILENT)
+
+    def _read(self, connection: DependencyConnection) -> None:
+        end = self._read_replies(connection)
+        end = connection.drop_reason or end
+        connection.sock.close()
+        self.connections.pop(connection, None)
+        if self.connection is connection:
+            self.connection = None
+        calls = connection.pending_calls
+        if calls:
+            logger.warning("the link below {} with {} calls out", end.value, len(calls))
+        outcome = Outcome.RESET if end in (End.UNREACHED, End.LEFT) else OUTCOMES[end]
+        for exchange_id in calls:
+            self.post_event(CallEnded(exchange_id, outcome, b""))
+        calls.clear()
+
+    def _read_replies(self, connection: DependencyConnection) -> End:
+        buffer = RingBuffer(READ_BUFFER_BYTES)
         try:
             while True:
-                count = wire.sock.recv_into(ring.writable_view())
+                count = connection.sock.recv_into(buffer.writable_view())
                 if count == 0:
                     return End.CLOSED
-                ring.mark_written(count)
-                wire.quiet_beats = 0
-                for reply in codec.replies(ring):
-                    sent, _ = wire.out.pop(reply.ident, (None, 0.0))
-                    if sent is not None:
-                        self.longest = max(self.now - sent, FADES * self.longest)
-                        self.tell(CallEnded(reply.ident, reply.outcome, reply.result))
-                if wire is not self.wire and not wire.out:
+                buffer.mark_written(count)
+                connection.silent_ticks = 0
+                for reply in codec.decode_replies(buffer):
+                    sent_at_ms, _ = connection.pending_calls.pop(reply.exchange_id, (None, 0.0))
+                    if sent_at_ms is not None:
+                        call_ms = self.now - sent_at_ms
+                        self.longest_call_ms = max(call_ms, LONGEST_CALL_DECAY * self.longest_call_ms)
+                        self.post_event(CallEnded(reply.exchange_id, reply.outcome, reply.result))
+                if connection is not self.connection and not connection.pending_calls:
                     return End.LEFT
         except OSError as error:
             return of_error(error)
-        except codec.Broken as error:
+        except codec.ProtocolError as error:
             logger.error("the layer below sent {}", error)
             return End.BROKEN
--- a/myrtlecrank/dependency/codec.py
+++ b/myrtlecrank/dependency/codec.py
@@ -1,5 +1,8 @@
-"""Codec of the link below: `OP` and `UNOP` out, one line for each call back, with counted bytes where it
-brings a result."""
+"""Codec of the dependency's protocol.
+
+Commands are `OP` and `UNOP` lines. A reply is one line for each call, followed by counted bytes where it
+carries a result. Lines end in CR LF.
+"""
 
 from __future__ import annotations
 
@@ -10,64 +13,74 @@
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
-LONGEST_LINE, LONGEST_RESULT = 4096, 1_048_576
-ENDS = {
+MAX_LINE_BYTES = 4096
+MAX_RESULT_BYTES = 1_048_576
+MAX_COUNT_DIGITS = 7
+MAX_QUOTED_CHARS = 80  # of a line that is not a reply, in the error
+LINE_END = b"\r\n"
+LINE_END_BYTES = 2
+OUTCOMES = {
     "DONE": Outcome.OK,
-    "WAIT": Outcome.FULL,  # turned away before it began
+    "WAIT": Outcome.FULL,  # rejected before it began
     "ERROR": Outcome.ERROR,
     "PAST": Outcome.TIMEOUT,
-    # No call that it knows. It may be one that it knew, so this proves nothing.
+    # The dependency knows no such call. It may have known it before, so this proves nothing.
     "EMPTY": Outcome.ERROR,
 }
 
 
-class Broken(Exception):
-    """The link no longer carries lines."""
+class ProtocolError(Exception):
+    """The bytes are not lines of the protocol; nothing more can be read on this connection."""
 
 
 @dataclass(slots=True)
 class Reply:
-    ident: str
+    """How a call ended; `result` is empty unless the outcome is OK."""
+
+    exchange_id: str
     outcome: Outcome
     result: bytes
 
 
-def command(wanted: Below) -> bytes:
-    match wanted:
-        case Call(ident, timeout, body):
-            return b"OP %b %d %d\r\n%b\r\n" % (ident.encode(), max(1, int(timeout)), len(body), body)
-        case Abandon(ident):
-            return b"UNOP %b\r\n" % ident.encode()
+def encode_command(command: Below) -> bytes:
+    """Returns a call, with its time limit in whole ms, or the command that abandons one."""
+    match command:
+        case Call(exchange_id, timeout_ms, body):
+            limit_ms = max(1, int(timeout_ms))
+            return b"OP %b %d %d\r\n%b\r\n" % (exchange_id.encode(), limit_ms, len(body), body)
+        case Abandon(exchange_id):
+            return b"UNOP %b\r\n" % exchange_id.encode()
 
 
-def replies(ring: RingBuffer) -> Iterator[Reply]:
-    """Takes the whole replies off the ring; raises Broken where the bytes are none."""
-    raw, at = ring.peek(len(ring)), 0
+def decode_replies(buffer: RingBuffer) -> Iterator[Reply]:
+    """Takes the complete replies off the buffer. Raises ProtocolError where the bytes are not replies."""
+    raw, at = buffer.peek(len(buffer)), 0
     try:
         while True:
-            end = raw.find(b"\r\n", at)
+            end = raw.find(LINE_END, at)
             if end < 0:
-                if len(raw) - at > LONGEST_LINE:
-                    raise Broken("a line without an end")
+                if len(raw) - at > MAX_LINE_BYTES:
+                    raise ProtocolError(f"a line of more than {MAX_LINE_BYTES} bytes without an end")
                 return
             words = raw[at:end].decode("utf-8", "replace").split(" ")
-            if len(words) < 2 or words[1] not in ENDS:
-                raise Broken(f"a line that is no reply: {' '.join(words)[:80]!r}")
-            after, result = end + 2, b""
+            if len(words) < 2 or words[1] not in OUTCOMES:
+                raise ProtocolError(f"a line that is not a reply: {' '.join(words)[:MAX_QUOTED_CHARS]!r}")
+            after, result = end + LINE_END_BYTES, b""
             if words[1] == "DONE":
-                size = _count(words[-1])
-                if len(raw) < after + size + 2:
+                size = _decode_count(words[-1])
+                if len(raw) < after + size + LINE_END_BYTES:
                     return
-                result, after = raw[after : after + size], after + size + 2
-                if raw[after - 2 : after] != b"\r\n":
-                    raise Broken("a result that does not end where it should")
+                result, after = raw[after : after + size], after + size + LINE_END_BYTES
+                if raw[after - LINE_END_BYTES : after] != LINE_END:
+                    raise ProtocolError(f"a result of {size} bytes that is not followed by CR LF")
             at = after
-            yield Reply(words[0], ENDS[words[1]], result)
+            yield Reply(words[0], OUTCOMES[words[1]], result)
     finally:
-        ring.discard(at)
+        buffer.discard(at)
 
 
-def _count(word: str) -> int:
-    if not (word.isascii() and word.isdigit() and len(word) < 8 and int(word) <= LONGEST_RESULT):
-        raise Broken(f"a length that reads {word[:40]!r}")
+def _decode_count(word: str) -> int:
+    is_number = word.isascii() and word.isdigit() and len(word) <= MAX_COUNT_DIGITS
+    if not is_number or int(word) > MAX_RESULT_BYTES:
+        raise ProtocolError(f"a length that reads {word[:40]!r}, expected 0 to {MAX_RESULT_BYTES}")
     return int(word)
--- a/myrtlecrank/membership_list/client.py
+++ b/myrtlecrank/membership_list/client.py
@@ -1,4 +1,4 @@
-"""The actor of the membership list: reports UP or OUT, again and again, and at once on a change."""
+"""The client of the membership list: reports UP or OUT periodically, and at once when the health changes."""
 
 from __future__ import annotations
 
@@ -13,47 +13,60 @@
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.frames.ring_buffer import RingBuffer
 
-EVERY_MS, AGAIN_MS = 800.0, 200.0  # an entry lapses 3 s after its last report
-CALL_S = 1.0
-MISSES = 3  # reports in a row without an answer that make a line in the log
+# An entry of the membership list lapses 3 s after its last report.
+REPORT_INTERVAL_MS = 800.0
+RETRY_INTERVAL_MS = 200.0
+REPORT_TIMEOUT_S = 1.0
+MAILBOX_MESSAGES = 64
+LOGGED_MISSES = 3  # reports in a row without an answer that are logged
+HTTP_NO_CONTENT = 204
 
 
-class _Reply:
-    """Takes in one answer."""
+class _Response:
+    """Parses one HTTP response; what follows it belongs to no report and is ignored."""
 
     def __init__(self) -> None:
-        self.whole, self.status = False, 0
+        self.is_complete = False
+        self.status = 0
         self.parser = httptools.HttpResponseParser(self)
 
     def on_message_complete(self) -> None:
-        if not self.whole:  # what follows the first belongs to no report
-            self.whole, self.status = True, self.parser.get_status_code()
+        if not self.is_complete:
+            self.is_complete = True
+            self.status = self.parser.get_status_code()
 
 
 class Roll:
+    """Sends the reports of one backend, one at a time and over one connection while that lasts."""
+
     def __init__(self, address: tuple[str, int], name: str) -> None:
-        self.address, self.name = address, name
-        self.mailbox: Mailbox[bool] = Mailbox(64)
-        self.well: bool | None = None  # nothing is reported before the start
-        self.due = float("inf")  # when the next report is
-        self.told: bool | None = None  # what the list has last been told
+        self.address = address
+        self.name = name
+        self.mailbox: Mailbox[bool] = Mailbox(MAILBOX_MESSAGES)
+        self.is_healthy: bool | None = None  # None before the start, when nothing is reported
+        self.due_at_ms = float("inf")  # monotonic; when the next report is due
+        self.told: bool | None = None  # the health that was last reported; None if none or unknown
         self.sock: socket.socket | None = None
-        self.calling: bool | None = None  # the report that is under way
-        self.sent = False  # it was written whole
-        self.away = False
-        self.misses = 0  # reports in a row that were not answered
+        self.report_in_progress: bool | None = None  # the health that is being reported
+        self.is_report_sent = False  # the report in progress was written whole
+        self.is_unreachable = False
+        self.missed_reports = 0  # in a row without an answer
 
     def run(self) -> None:
+        """Sends the reports that are put into the mailbox; of several only the last."""
         while True:
-            self.well, self.due = self.mailbox.take()[-1], float("inf")
-            done = self.report(self.well)
-            self.due = time.monotonic() * 1000.0 + (EVERY_MS if done else AGAIN_MS)
-
-    def tell(self, well: bool) -> None:
-        """Reports a change at once: the answer to a report that says otherwise is no longer waited for, as
-        the list may never give it."""
-        self.mailbox.post(well)
-        if self.calling is not None and self.calling is not well:
+            self.is_healthy, self.due_at_ms = self.mailbox.take()[-1], float("inf")
+            succeeded = self.report(self.is_healthy)
+            interval_ms = REPORT_INTERVAL_MS if succeeded else RETRY_INTERVAL_MS
+            self.due_at_ms = time.monotonic() * 1000.0 + interval_ms
+
+    def tell(self, is_healthy: bool) -> None:
+        """Reports a change of health at once.
+
+        If a report of the opposite is in progress its answer is no longer awaited, as it may never come.
+        """
+        self.mailbox.post(is_healthy)
+        if self.report_in_progress is not None and self.report_in_progress is not is_healthy:
             self._close()
 
     def move(self, address: tuple[str, int]) -> None:
@@ -62,40 +75,45 @@
             return
         self.address, self.told = address, None
         self._close()
-        if self.well is not None and not self.mailbox:
-            self.mailbox.post(self.well)
+        if self.is_healthy is not None and not self.mailbox:
+            self.mailbox.post(self.is_healthy)
 
     def beat(self, _: float) -> None:
-        """Hangs on the module's beat: were that to stop, the entry would lapse, as it should."""
-        if self.well is not None and time.monotonic() * 1000.0 >= self.due and not self.mailbox:
-            self.mailbox.post(self.well)
-
-    def report(self, well: bool) -> bool:
-        """One call, on the connection of the last if it still stands."""
-        fresh = self.sock is None
-        self.calling, self.sent = well, False
+        """Repeats the report when it is due.
+
+        Called on the core's sampling tick: if that stops, the entry lapses, as it should.
+        """
+        if self.is_healthy is not None and time.monotonic() * 1000.0 >= self.due_at_ms and not self.mailbox:
+            self.mailbox.post(self.is_healthy)
+
+    def report(self, is_healthy: bool) -> bool:
+        """Sends one report, over the open connection if there is one. Returns whether it succeeded."""
+        is_new_connection = self.sock is None
+        self.report_in_progress = is_healthy
+        self.is_report_sent = False
         try:
-            with gevent.Timeout(CALL_S, TimeoutError):
-                end = self._call(well)
-                if end in (End.CLOSED, End.RESET) and not fresh:
-                    end = self._call(well)  # the list had closed the idle connection
+            with gevent.Timeout(REPORT_TIMEOUT_S, TimeoutError):
+                end = self._send_report(is_healthy)
+                if end in (End.CLOSED, End.RESET) and not is_new_connection:
+                    end = self._send_report(is_healthy)  # the list had closed the idle connection
         except TimeoutError:
             self._close()
             end = End.SILENT
-        self.calling = None
+        self.report_in_progress = None
         if end is not End.LEFT:
-            self._note(end)
-        if end is None or (end is End.SILENT and self.sent):
-            self.told = well  # a report that arrived whole counts without its answer
+            self._count_misses(end)
+        if end is None or (end is End.SILENT and self.is_report_sent):
+            self.told = is_healthy  # a report that was sent whole counts without its answer
         return end is None
 
-    def _call(self, well: bool) -> End | None:
-        body = b'{"phase":"%b"}' % (b"UP" if well else b"OUT")
+    def _send_report(self, is_healthy: bool) -> End | None:
+        """Sends a report and reads the answer. Returns None on success, else how the connection ended."""
+        body = b'{"phase":"%b"}' % (b"UP" if is_healthy else b"OUT")
         head = f"PUT /members/{self.name} HTTP/1.1\r\nHost: members\r\nContent-Length: {len(body)}\r\n\r\n"
-        reply = _Reply()
+        response = _Response()
         try:
             sock = self.sock
-            if sock is not None and self._stale(sock):
+            if sock is not None and self._is_stale(sock):
                 self._close()
                 sock = None
             if sock is None:
@@ -106,17 +124,17 @@
             outgoing.append(head.encode() + body)
             while outgoing:
                 outgoing.discard(sock.send(outgoing.readable_view()))
-            self.sent = True
-            while not reply.whole:
+            self.is_report_sent = True
+            while not response.is_complete:
                 count = sock.recv_into(incoming.writable_view())
                 if not count:
                     self._close()
                     return End.CLOSED
                 incoming.mark_written(count)
-                reply.parser.feed_data(incoming.read(count))
-            if not reply.parser.should_keep_alive():
+                response.parser.feed_data(incoming.read(count))
+            if not response.parser.should_keep_alive():
                 self._close()
-            return None if reply.status == 204 else End.BROKEN
+            return None if response.status == HTTP_NO_CONTENT else End.BROKEN
         except OSError as error:
             self._close()
             return of_error(error)
@@ -124,9 +142,11 @@
             self._close()
             return End.BROKEN
 
-    def _stale(self, sock: socket.socket) -> bool:
-        """Guards against an answer to an earlier report that comes late: it would count for the next. The end
-        of an idle connection is seen here as well."""
+    def _is_stale(self, sock: socket.socket) -> bool:
+        """Whether an idle connection has ended or holds input.
+
+        The input is a late answer to an earlier report, which would count for the next one.
+        """
         sock.settimeout(0.0)
         try:
             sock.recv(1, socket.MSG_PEEK)
@@ -141,13 +161,15 @@
             self.sock.close()
             self.sock = None
 
-    def _note(self, end: End | None) -> None:
-        """One line when the list goes away, one when it is back; a report that gets no answer now and then
-        is no news."""
-        self.misses = 0 if end is None else self.misses + 1
-        if end is not None and self.misses == MISSES:
+    def _count_misses(self, end: End | None) -> None:
+        """Logs once when the membership list becomes unreachable and once when it answers again.
+
+        A single report without an answer is normal and not logged.
+        """
+        self.missed_reports = 0 if end is None else self.missed_reports + 1
+        if end is not None and self.missed_reports == LOGGED_MISSES:
             logger.warning("the membership list: {}", end.value)
-            self.away = True
-        elif end is None and self.away:
+            self.is_unreachable = True
+        elif end is None and self.is_unreachable:
             logger.info("the membership list answers again")
-            self.away = False
+            self.is_unreachable = False
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -1,5 +1,4 @@
-"""Calls to the layer below: the codec, the link over loopback sockets, and what the module's actor makes of
-them."""
+"""Calls to the dependency: codec, client over loopback sockets, and the core's handling of their ends."""
 
 from __future__ import annotations
 
@@ -34,7 +33,7 @@
     Verdict,
 )
 from myrtlecrank.dependency import codec
-from myrtlecrank.dependency.client import OVERDUE_BEATS, BelowLink
+from myrtlecrank.dependency.client import MAX_OVERDUE_TICKS, BelowLink
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Below, Gauges, Kind, Outcome
 
@@ -42,27 +41,29 @@
 WAIT_S = 10.0
 
 
-@pytest.mark.parametrize("step", [1, 13, 4096])
-def test_a_body_that_reads_like_notices_is_passed_over_whole(step: int) -> None:
+@pytest.mark.parametrize("piece_bytes", [1, 13, 4096])
+def test_body_that_reads_like_notices_is_skipped_whole(piece_bytes: int) -> None:
     raw = b"request 3 aa %d\r\n%b\r\noutcome 4 aa PASS 5 1\r\nr\r\n" % (len(FORGED), FORGED)
-    ring, told = RingBuffer(), []
-    for at in range(0, len(raw), step):
-        ring.append(raw[at : at + step])
-        told += list(decode_notices(ring))
-    assert told == [RequestNotice(3, "aa", FORGED), OutcomeNotice(4, "aa", Outcome.OK, 5.0, b"r")]
+    buffer, notices = RingBuffer(), []
+    for at in range(0, len(raw), piece_bytes):
+        buffer.append(raw[at : at + piece_bytes])
+        notices += list(decode_notices(buffer))
+    assert notices == [RequestNotice(3, "aa", FORGED), OutcomeNotice(4, "aa", Outcome.OK, 5.0, b"r")]
 
 
-def test_commands_and_replies() -> None:
-    assert codec.command(Call("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
-    assert codec.command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
-    assert codec.command(Abandon("aa")) == b"UNOP aa\r\n"
+def test_commands_are_encoded_and_replies_decoded() -> None:
+    assert codec.encode_command(Call("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
+    assert codec.encode_command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
+    assert codec.encode_command(Abandon("aa")) == b"UNOP aa\r\n"
     assert (
         encode_command(Deliver("aa", b"x\r\n")) + encode_command(Forgo("aa"))
         == b"deliver aa 3\r\nx\r\n\r\nforgo aa\r\n"
     )
-    ring = RingBuffer()
-    ring.append(b"aa DONE 3\r\nx\r\n\r\nbb WAIT 30\r\ncc ERROR\r\ndd PAST\r\nee EMPTY\r\nff DONE 9\r\nshort")
-    assert [(r.ident, r.outcome, r.result) for r in codec.replies(ring)] == [
+    buffer = RingBuffer()
+    buffer.append(
+        b"aa DONE 3\r\nx\r\n\r\nbb WAIT 30\r\ncc ERROR\r\ndd PAST\r\nee EMPTY\r\nff DONE 9\r\nshort"
+    )
+    assert [(r.exchange_id, r.outcome, r.result) for r in codec.decode_replies(buffer)] == [
         ("aa", Outcome.OK, b"x\r\n"),
         ("bb", Outcome.FULL, b""),
         ("cc", Outcome.ERROR, b""),
@@ -71,17 +72,23 @@
     ]
 
 
-SPOILT = [b"aa DONE -3\r\n", b"aa DONE 3000000000\r\n", b"aa DONE 1\r\nxyz\r\n", b"hum\r\n", b"a" * 5000]
+INVALID_REPLIES = [
+    b"aa DONE -3\r\n",
+    b"aa DONE 3000000000\r\n",
+    b"aa DONE 1\r\nxyz\r\n",
+    b"hum\r\n",
+    b"a" * 5000,
+]
 
 
-class Layer:
-    """A listener in the place of the layer below, and the link to it."""
+class StandInDependency:
+    """A listener that stands in for the dependency, and the client under test."""
 
     def __init__(self) -> None:
-        self.letters: Mailbox[Any] = Mailbox(100)
+        self.messages: Mailbox[Any] = Mailbox(100)
         self.listener, self.address = self.listen()
-        self.link = BelowLink(self.address, self.letters.post, 1000.0)
-        self.writer = gevent.spawn(self.link.run)
+        self.client = BelowLink(self.address, self.messages.post, 1000.0)
+        self.writer = gevent.spawn(self.client.run)
 
     def listen(self) -> tuple[Any, Any]:
         made = socket.socket()
@@ -97,155 +104,166 @@
 
 
 @pytest.fixture
-def layer() -> Iterator[Layer]:
+def dependency() -> Iterator[StandInDependency]:
     with gevent.Timeout(3 * WAIT_S):
-        made = Layer()
+        made = StandInDependency()
         yield made
         made.writer.kill()
         made.listener.close()
 
 
-def test_many_calls_share_a_link_and_come_back_in_any_order(layer: Layer) -> None:
+def test_calls_share_a_connection_and_are_answered_in_any_order(dependency: StandInDependency) -> None:
     for ident in ("aa", "bb"):
-        layer.link.mailbox.post(Call(ident, 900.0, b"q"))
-    sock = layer.accept()
+        dependency.client.mailbox.post(Call(ident, 900.0, b"q"))
+    sock = dependency.accept()
     assert sock.recv(100) == b"OP aa 900 1\r\nq\r\nOP bb 900 1\r\nq\r\n"
     sock.sendall(b"bb DONE 1\r\nr\r\naa WAIT 5\r\nbb DONE 1\r\nr\r\n")
-    assert layer.letters.take() == [CallEnded("bb", Outcome.OK, b"r"), CallEnded("aa", Outcome.FULL, b"")]
+    assert dependency.messages.take() == [
+        CallEnded("bb", Outcome.OK, b"r"),
+        CallEnded("aa", Outcome.FULL, b""),
+    ]
 
 
-@pytest.mark.parametrize("spoilt", [b"", *SPOILT])
-def test_a_link_that_ends_or_is_spoilt_settles_what_is_out_on_it_and_the_next_call_opens_another(
-    layer: Layer, spoilt: bytes
+@pytest.mark.parametrize("invalid", [b"", *INVALID_REPLIES])
+def test_lost_connection_ends_its_pending_calls_and_the_next_call_opens_another(
+    dependency: StandInDependency, invalid: bytes
 ) -> None:
-    layer.link.mailbox.post(Call("aa", 900.0, b"q"))
-    sock = layer.accept()
+    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    sock = dependency.accept()
     sock.recv(100)
-    sock.sendall(spoilt)
-    if not spoilt:
+    sock.sendall(invalid)
+    if not invalid:
         sock.close()
-    (end,) = layer.letters.take()
+    (end,) = dependency.messages.take()
     assert end.ident == "aa" and end.outcome in (Outcome.RESET, Outcome.ERROR)
-    layer.link.mailbox.post(Call("bb", 900.0, b"q"))
-    assert layer.accept().recv(100).startswith(b"OP bb")
+    dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+    assert dependency.accept().recv(100).startswith(b"OP bb")
 
 
-def test_a_call_that_finds_no_layer_never_left(layer: Layer) -> None:
-    layer.listener.close()
-    layer.link.mailbox.post(Call("aa", 30.0, b"q"))
-    assert layer.letters.take() == [CallEnded("aa", Outcome.UNREACHED, b"")]
+def test_call_without_a_reachable_dependency_is_unreached(dependency: StandInDependency) -> None:
+    dependency.listener.close()
+    dependency.client.mailbox.post(Call("aa", 30.0, b"q"))
+    assert dependency.messages.take() == [CallEnded("aa", Outcome.UNREACHED, b"")]
 
 
-def test_a_move_with_a_call_out_loses_nothing_and_new_calls_go_to_the_new_place(layer: Layer) -> None:
-    layer.link.mailbox.post(Call("aa", 900.0, b"q"))
-    old = layer.accept()
+def test_address_change_keeps_pending_calls_and_sends_new_ones_to_the_new_address(
+    dependency: StandInDependency,
+) -> None:
+    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    old = dependency.accept()
     old.recv(100)
-    listener, address = layer.listen()
-    layer.link.move(address)
-    layer.link.mailbox.post(Call("bb", 900.0, b"q"))
-    new = layer.accept(listener)
+    listener, address = dependency.listen()
+    dependency.client.move(address)
+    dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+    new = dependency.accept(listener)
     assert new.recv(100).startswith(b"OP bb")
     old.sendall(b"aa DONE 1\r\nr\r\n")
-    assert layer.letters.take() == [CallEnded("aa", Outcome.OK, b"r")]
-    assert old.recv(100) == b"" and list(layer.link.wires) == [layer.link.wire]
+    assert dependency.messages.take() == [CallEnded("aa", Outcome.OK, b"r")]
+    assert old.recv(100) == b"" and list(dependency.client.connections) == [dependency.client.connection]
 
 
 @pytest.mark.parametrize("opened", [False, True])
-def test_what_is_given_up_is_so_on_the_link_that_it_went_out_on(layer: Layer, opened: bool) -> None:
-    """The layer moves between a call and its exchange being given up."""
-    layer.link.mailbox.post(Call("aa", 900.0, b"q"))
-    old = layer.accept()
+def test_call_is_abandoned_on_the_connection_on_which_it_was_sent(
+    dependency: StandInDependency, opened: bool
+) -> None:
+    """The address changes after the call was sent and before it is abandoned."""
+    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    old = dependency.accept()
     old.recv(100)
-    listener, address = layer.listen()
-    layer.link.move(address)
+    listener, address = dependency.listen()
+    dependency.client.move(address)
     if opened:
-        layer.link.mailbox.post(Call("bb", 900.0, b"q"))
-        assert layer.accept(listener).recv(100).startswith(b"OP bb")
-    layer.link.mailbox.post(Abandon("aa"))
+        dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+        assert dependency.accept(listener).recv(100).startswith(b"OP bb")
+    dependency.client.mailbox.post(Abandon("aa"))
     assert old.recv(100) == b"UNOP aa\r\n" and old.recv(100) == b""
-    while len(layer.link.wires) > opened:
+    while len(dependency.client.connections) > opened:
         gevent.sleep(0)
 
 
-def test_a_write_that_stands_still_is_ended_though_all_it_gives_up_was_out(layer: Layer) -> None:
-    """The layer takes nothing any more when the last call that is out is given up."""
-    layer.link.mailbox.post(Call("aa", 900.0, b"q"))
-    first = layer.accept()
+def test_hung_write_is_ended_although_it_abandons_the_last_pending_call(
+    dependency: StandInDependency,
+) -> None:
+    """The dependency reads nothing any more when the last pending call is abandoned."""
+    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    first = dependency.accept()
     first.recv(100)
-    wire = layer.link.wire
-    assert wire is not None
+    connection = dependency.client.connection
+    assert connection is not None
 
-    class Full:
+    class BlockedSocket:
         def send(self, _: Any) -> int:
-            held.wait()
+            closed.wait()
             raise OSError(errno.EBADF, "closed")
 
         def close(self) -> None:
-            held.set()
-            wire_sock.close()
+            closed.set()
+            real_sock.close()
 
         def __getattr__(self, name: str) -> Any:
-            return getattr(wire_sock, name)
+            return getattr(real_sock, name)
 
-    held, wire_sock = Event(), wire.sock
-    wire.sock = Full()
-    layer.link.mailbox.post(Abandon("aa"))
+    closed, real_sock = Event(), connection.sock
+    connection.sock = BlockedSocket()
+    dependency.client.mailbox.post(Abandon("aa"))
     gevent.sleep(0)
-    layer.link.mailbox.post(Call("bb", 900.0, b"q"))
+    dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
     for _ in range(11):
-        layer.link.look(0.0)
-    assert layer.accept().recv(100).startswith(b"OP bb")
+        dependency.client.look(0.0)
+    assert dependency.accept().recv(100).startswith(b"OP bb")
 
 
-def test_a_call_whose_end_is_never_told_is_given_up_and_an_abandoned_one_is_not_waited_for(
-    layer: Layer,
+def test_overdue_call_ends_in_a_timeout_and_an_abandoned_one_is_not_awaited(
+    dependency: StandInDependency,
 ) -> None:
-    layer.link.mailbox.post(Call("aa", 900.0, b"q"))
-    layer.link.mailbox.post(Call("bb", 50.0, b"q"))
-    sock = layer.accept()  # held, or it would be closed with its last name
+    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    dependency.client.mailbox.post(Call("bb", 50.0, b"q"))
+    sock = dependency.accept()  # kept in a variable, or garbage collection would close it
     sock.recv(100)
-    layer.link.mailbox.post(Abandon("aa"))
+    dependency.client.mailbox.post(Abandon("aa"))
     gevent.sleep(0)
-    for _ in range(OVERDUE_BEATS):
-        layer.link.look(5000.0)
-    assert layer.link.wire is not None and layer.link.wire.dropped is None
-    layer.link.look(5000.0)
-    assert layer.letters.take() == [CallEnded("bb", Outcome.TIMEOUT, b"")] and not layer.letters
+    for _ in range(MAX_OVERDUE_TICKS):
+        dependency.client.look(5000.0)
+    assert dependency.client.connection is not None and dependency.client.connection.drop_reason is None
+    dependency.client.look(5000.0)
+    assert dependency.messages.take() == [CallEnded("bb", Outcome.TIMEOUT, b"")] and not dependency.messages
 
 
-def test_a_link_that_goes_silent_is_known_though_each_call_on_it_is_abandoned_in_time(layer: Layer) -> None:
-    """As a hung link is seen by the module: calls are given up with their exchanges, and new ones go out."""
+def test_silent_connection_is_dropped_although_each_call_is_abandoned_in_time(
+    dependency: StandInDependency,
+) -> None:
+    """Calls on a hung connection are abandoned with their exchanges while new ones are sent."""
     now = 0.0
 
-    def beats(count: int) -> None:
+    def run_ticks(count: int) -> None:
         nonlocal now
         for _ in range(count):
             now += 100.0
-            layer.link.look(now)
+            dependency.client.look(now)
 
-    layer.link.mailbox.post(Call("a0", 4000.0, b"q"))
-    sock = layer.accept()
+    dependency.client.mailbox.post(Call("a0", 4000.0, b"q"))
+    sock = dependency.accept()
     sock.recv(100)
-    beats(8)
+    run_ticks(8)
     sock.sendall(b"a0 DONE 1\r\nr\r\n")
-    assert layer.letters.take() == [CallEnded("a0", Outcome.OK, b"r")]
+    assert dependency.messages.take() == [CallEnded("a0", Outcome.OK, b"r")]
     for ident in ("a1", "a2"):
-        layer.link.mailbox.post(Call(ident, 900.0, b"q"))
+        dependency.client.mailbox.post(Call(ident, 900.0, b"q"))
         sock.recv(100)
-        beats(7)
+        run_ticks(7)
         if ident == "a1":
-            layer.link.mailbox.post(Call("a3", 4000.0, b"q"))
-            layer.link.mailbox.post(Abandon(ident))
+            dependency.client.mailbox.post(Call("a3", 4000.0, b"q"))
+            dependency.client.mailbox.post(Abandon(ident))
             sock.recv(100)
-    assert layer.link.wire is not None and layer.link.wire.dropped is None
-    beats(3)  # more than twice the 800 ms that a call took
-    assert layer.letters.take() == [CallEnded(i, Outcome.TIMEOUT, b"") for i in ("a3", "a2")]
-    layer.link.mailbox.post(Call("a4", 900.0, b"q"))
-    assert layer.accept().recv(100).startswith(b"OP a4")
+    assert dependency.client.connection is not None and dependency.client.connection.drop_reason is None
+    run_ticks(3)  # more than twice the 800 ms that a call took
+    assert dependency.messages.take() == [CallEnded(i, Outcome.TIMEOUT, b"") for i in ("a3", "a2")]
+    dependency.client.mailbox.post(Call("a4", 900.0, b"q"))
+    assert dependency.accept().recv(100).startswith(b"OP a4")
 
 
-class Calls(Play):
-    """The module's actor on a site with a layer below."""
+class CallingPlay(Play):
+    """The core's actor with a dependency."""
 
     def __init__(self, kind: Kind = Kind.REPEATABLE, **others: Any) -> None:
         super().__init__(group(kind, calls=True, **others), below=Below.TIER)
@@ -257,8 +275,8 @@
         self.turn(1.0, AtCall("aa", b"q"))
 
 
-def test_a_run_that_calls_gets_what_the_layer_brings() -> None:
-    play = Calls()
+def test_run_gets_the_result_of_its_call() -> None:
+    play = CallingPlay()
     play.at_call()
     assert play.asked == [Call("aa", play.asked[0].timeout, b"q")] and 0 < play.asked[0].timeout < 4000.0
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
@@ -269,62 +287,62 @@
 
 
 @pytest.mark.parametrize(("kind", "calls"), [(Kind.REPEATABLE, 2), (Kind.MUTATING, 1)])
-def test_a_lost_call_is_made_again_only_where_it_may_be(kind: Kind, calls: int) -> None:
-    play = Calls(kind)
+def test_lost_call_is_retried_only_where_that_is_safe(kind: Kind, calls: int) -> None:
+    play = CallingPlay(kind)
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.RESET, b""))
     assert len(play.asked) == calls
     assert kind is Kind.REPEATABLE or [a.verdict for a in play.answers] == [Verdict.TERMINATED]
 
 
-def test_a_call_that_was_turned_away_or_never_left_is_made_again_whatever_it_does() -> None:
-    play = Calls(Kind.MUTATING)
+def test_rejected_or_unsent_call_is_retried_for_any_kind_of_exchange() -> None:
+    play = CallingPlay(Kind.MUTATING)
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.FULL, b""))
     play.turn(60.0, CallEnded("aa", Outcome.UNREACHED, b""))
     assert len(play.asked) == 3 and not play.answers
 
 
-def test_a_call_may_be_done_without_where_that_earns_something() -> None:
-    play = Calls(Kind.MUTATING, benefit_without=0.5)
+def test_failed_call_is_skipped_where_the_exchange_keeps_a_benefit() -> None:
+    play = CallingPlay(Kind.MUTATING, benefit_without=0.5)
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.ERROR, b""))
     assert play.commands(Forgo) == [Forgo("aa")] and not play.answers
 
 
-def again(play: Calls, *missed: Any) -> None:
-    """The agent's link is lost and opened again, with these among what was missed."""
+def reconnect_agent(play: CallingPlay, *missed: Any) -> None:
+    """The agent is disconnected and connected again; `missed` are the events in between."""
     play.turn(60.0, Parted(End.RESET))
     play.turn(70.0, Greeted(False, 70.0), *missed)
     play.turn(80.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
 
 
 @pytest.mark.parametrize("before", [True, False])
-def test_what_a_call_brought_reaches_the_run_though_the_link_is_lost_under_it(before: bool) -> None:
-    """The cut comes just after the result went out, or just before it came."""
-    play = Calls()
+def test_call_result_reaches_the_run_although_the_agent_connection_is_lost(before: bool) -> None:
+    """The agent is disconnected just after the result was sent, or just before it arrived."""
+    play = CallingPlay()
     play.at_call()
     if before:
         play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-        again(play)
+        reconnect_agent(play)
     else:
         play.turn(50.0, Parted(End.RESET), CallEnded("aa", Outcome.OK, b"result"))
         assert not play.commands(Deliver)
-        again(play)
+        reconnect_agent(play)
     assert play.commands(Deliver) == [Deliver("aa", b"result")] * (2 if before else 1)
     assert len(play.commands(Launch)) == 1
 
 
-def test_a_run_that_went_on_to_its_next_call_is_not_handed_the_last_result_again() -> None:
-    play = Calls()
+def test_run_at_its_next_call_does_not_get_the_last_result_again() -> None:
+    play = CallingPlay()
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-    again(play, AtCall("aa", b"next"))
+    reconnect_agent(play, AtCall("aa", b"next"))
     assert len(play.commands(Deliver)) == 1 and [c.body for c in play.asked] == [b"q", b"next"]
 
 
-def test_a_result_that_the_run_took_before_the_cut_is_not_sent_again() -> None:
-    play = Calls()
+def test_result_taken_before_the_disconnection_is_not_sent_again() -> None:
+    play = CallingPlay()
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
     play.turn(101.0)
@@ -336,8 +354,8 @@
 
 
 @pytest.mark.parametrize("kind", list(Kind))
-def test_a_call_that_never_comes_back_holds_no_exchange_past_its_due_time(kind: Kind) -> None:
-    play = Calls(kind)
+def test_call_without_an_end_does_not_delay_its_exchange_past_the_deadline(kind: Kind) -> None:
+    play = CallingPlay(kind)
     play.at_call()
     for now in range(10, 4001, 10):
         play.turn(float(now))
@@ -348,8 +366,8 @@
     assert not play.commands(Deliver) and not play.core.table and len(play.answers) == 1
 
 
-def test_calls_are_settled_before_the_stop_too() -> None:
-    play = Calls()
+def test_pending_calls_are_ended_before_the_stop() -> None:
+    play = CallingPlay()
     play.at_call()
     play.turn(10.0, Leave(10.0))
     for now in range(20, 3200, 20):
@@ -357,8 +375,8 @@
     assert play.core.unanswered == 0 and play.asked[-1] == Abandon("aa")
 
 
-def test_a_caller_that_leaves_while_its_run_calls_leaves_nothing_behind() -> None:
-    play = Calls()
+def test_caller_that_disconnects_during_a_call_leaves_no_state() -> None:
+    play = CallingPlay()
     ticket = play.ask("aa", 0.0)
     play.turn(1.0, AtCall("aa", b"q"))
     play.turn(2.0, CallersLeft([ticket]))
@@ -372,11 +390,11 @@
 @pytest.mark.parametrize("left", [True, False])
 @pytest.mark.parametrize("place", ["calling", "parked"])
 @pytest.mark.parametrize("kind", [Kind.REPEATABLE, Kind.MUTATING])
-def test_a_run_that_ends_while_it_stands_at_its_call_is_over_with_its_room(
+def test_run_that_ends_during_its_call_frees_its_capacity(
     kind: Kind, place: str, left: bool, outcome: Outcome
 ) -> None:
-    """The run is stopped, or its end is told, between the call and its answer: no further call is made."""
-    play = Calls(kind)
+    """The run is cancelled or ends between its call and the reply: no further call is made."""
+    play = CallingPlay(kind)
     controller = play.core.controller
     assert controller
     controller.calls_at_most = 1.0
@@ -396,12 +414,12 @@
     assert len(play.answers) == (not left)
     if place == "parked":
         play.turn(5.0, CallEnded("zz", Outcome.OK, b"r"), RunEnded("zz", Outcome.OK, 5.0, b"r"))
-    play.turn(900.0)  # what was left may stay with the layer for a while
+    play.turn(900.0)  # an abandoned call may stay with the dependency for a while
     assert controller.calls == 0 and not controller.running
 
 
-def test_a_machine_that_begins_anew_under_a_call_ends_it_too() -> None:
-    play = Calls()
+def test_machine_restart_ends_a_pending_call() -> None:
+    play = CallingPlay()
     play.at_call()
     play.turn(60.0, Parted(End.RESET))
     play.turn(70.0, Greeted(True, 5.0, anew=True))
@@ -410,7 +428,7 @@
     assert not play.core.table and play.core.controller and play.core.controller.calls == 0
 
 
-def test_a_call_that_the_settings_do_not_know_of_ends_nothing() -> None:
+def test_unexpected_call_does_not_end_the_exchange() -> None:
     play = Play()
     play.ask("aa", 0.0)
     play.turn(1.0, AtCall("aa", b"q"), AtCall("gone", b"q"))
