--- a/myrtlecrank/edge/caller.py
+++ b/myrtlecrank/edge/caller.py
@@ -55,7 +55,7 @@
         self.sends_wait_time = sends_wait_time
         self.published_state = published_state
         self.submit = submit
-        self.connections = 0
+        self.connection_count = 0
         self.mailbox: Mailbox[Answer | None] = Mailbox(MAILBOX_MESSAGES)
 
     def run(self) -> None:
--- a/myrtlecrank/edge/server.py
+++ b/myrtlecrank/edge/server.py
@@ -163,7 +163,7 @@
                     self.core.mailbox.put,
                 )
                 self.spawn(caller.run)
-            caller.connections += 1
+            caller.connection_count += 1
         self.callers[connection.caller].handle_request(connection, frame)
 
     def abandon(self, connection: Connection, stream: int) -> None:
@@ -193,8 +193,8 @@
             self.core.mailbox.put(CallersLeft(unanswered))
         if connection.caller is not None:
             caller = self.callers[connection.caller]
-            caller.connections -= 1
-            if not caller.connections:
+            caller.connection_count -= 1
+            if not caller.connection_count:
                 del self.callers[connection.caller]
                 caller.mailbox.post(None)
 
