--- a/myrtlecrank/agent/__init__.py
+++ b/myrtlecrank/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The connection to the render farm's agent, which runs the exchanges."""
+"""The connection to the agent, which runs the exchanges."""
--- a/myrtlecrank/agent/client.py
+++ b/myrtlecrank/agent/client.py
@@ -102,8 +102,8 @@
     def write(self) -> None:
         """Writes the commands, many at a time.
 
-        While there is no connection, start commands are reported as not sent; of the others the notices after
-        the next connection tell.
+        While there is no connection, start commands are reported as not sent. Other commands are dropped: the
+        notices after the next connection show what became of their exchanges.
         """
         while True:
             commands = self.mailbox.take()
--- a/myrtlecrank/agent/codec.py
+++ b/myrtlecrank/agent/codec.py
@@ -17,6 +17,7 @@
 MAX_LINE_BYTES = 65_536
 MAX_RESULT_BYTES = 1_048_576
 MAX_COUNT_DIGITS = 9
+MAX_QUOTED_CHARS = 40  # of an invalid length, in the message about it
 LINE_END = b"\r\n"
 LINE_END_BYTES = 2
 OUTCOMES = {
@@ -137,7 +138,7 @@
 def _decode_count(word: str, limit: int) -> int:
     is_number = word.isascii() and word.isdigit() and len(word) <= MAX_COUNT_DIGITS
     if not is_number or int(word) > limit:
-        raise ProtocolError(f"a length that reads {word[:40]!r}, expected 0 to {limit}")
+        raise ProtocolError(f"a length that reads {word[:MAX_QUOTED_CHARS]!r}, expected 0 to {limit}")
     return int(word)
 
 
--- a/myrtlecrank/dependency/codec.py
+++ b/myrtlecrank/dependency/codec.py
@@ -16,7 +16,9 @@
 MAX_LINE_BYTES = 4096
 MAX_RESULT_BYTES = 1_048_576
 MAX_COUNT_DIGITS = 7
-MAX_QUOTED_CHARS = 80  # of a line that is not a reply, in the error
+# Of what is invalid, in the message about it.
+MAX_QUOTED_LINE_CHARS = 80
+MAX_QUOTED_COUNT_CHARS = 40
 LINE_END = b"\r\n"
 LINE_END_BYTES = 2
 OUTCOMES = {
@@ -64,7 +66,9 @@
                 return
             words = raw[at:end].decode("utf-8", "replace").split(" ")
             if len(words) < 2 or words[1] not in OUTCOMES:
-                raise ProtocolError(f"a line that is not a reply: {' '.join(words)[:MAX_QUOTED_CHARS]!r}")
+                raise ProtocolError(
+                    f"a line that is not a reply: {' '.join(words)[:MAX_QUOTED_LINE_CHARS]!r}"
+                )
             after, result = end + LINE_END_BYTES, b""
             if words[1] == "DONE":
                 size = _decode_count(words[-1])
@@ -82,5 +86,7 @@
 def _decode_count(word: str) -> int:
     is_number = word.isascii() and word.isdigit() and len(word) <= MAX_COUNT_DIGITS
     if not is_number or int(word) > MAX_RESULT_BYTES:
-        raise ProtocolError(f"a length that reads {word[:40]!r}, expected 0 to {MAX_RESULT_BYTES}")
+        raise ProtocolError(
+            f"a length that reads {word[:MAX_QUOTED_COUNT_CHARS]!r}, expected 0 to {MAX_RESULT_BYTES}"
+        )
     return int(word)
--- a/myrtlecrank/edge/caller.py
+++ b/myrtlecrank/edge/caller.py
@@ -14,9 +14,9 @@
 
 MAILBOX_MESSAGES = 256
 MAX_CLOCK_AHEAD_MS = 1000.0  # how far an arrival stamp may be ahead of our clock
-MAX_WAIT_TIMEOUTS = (
-    2.0  # async timeouts of its group that a caller may claim to wait; it waits for at most one
-)
+# Async timeouts of its group that a caller may claim to wait; it never waits for more than one.
+MAX_WAIT_TIMEOUTS = 2.0
+MAX_QUOTED_CHARS = 40  # of an unknown name, in the log
 ANSWER_CODES = {
     Verdict.COMPLETED: codec.COMPLETED,
     Verdict.DENIED: codec.DENIED,
@@ -89,7 +89,11 @@
         group, timeout_ms, is_deduplicated = self.groups.get(request.group, UNKNOWN_GROUP)
         tenant = self.tenants.get(request.tenant or "") if self.tenants else 0
         if group is None or tenant is None:
-            name = f"endpoint group {request.group[:40]!r}" if group is None else f"tenant {request.tenant!r}"
+            name = (
+                f"endpoint group {request.group[:MAX_QUOTED_CHARS]!r}"
+                if group is None
+                else f"tenant {request.tenant!r}"
+            )
             connection.reject(request.stream, f"the unknown {name}")
             return
         if self.sends_wait_time and request.wait_ms is None:
--- a/myrtlecrank/edge/connection.py
+++ b/myrtlecrank/edge/connection.py
@@ -21,7 +21,7 @@
 MAX_UNSENT_BYTES = 4 * codec.MAX_RESULT_BYTES  # what a slow reader may leave unsent before we stop reading it
 STALLED_LIMIT_MS = 5000.0  # a reader that takes nothing for this long is considered gone
 INCOMPLETE_LIMIT_MS = 2000.0  # a frame, including the first of a connection, must be complete by then
-# Limits on reading off what still arrives before a close.
+# Limits on the input that is still read, and dropped, before a close.
 LINGER_S = 0.5
 LINGER_BYTES = 262_144
 # Interval between checks whether a caller that shut down its sending side is still there.
@@ -127,7 +127,7 @@
         self._set_end(read_end)
 
     def _linger(self) -> None:
-        """Reads off what still arrives.
+        """Reads what still arrives and drops it.
 
         A close with unread bytes is a reset, which destroys what is on its way to the caller.
         """
@@ -144,7 +144,7 @@
             pass
 
     def discard_unread(self) -> None:
-        """Reads off what lies in the socket's buffer, without waiting and in a bounded number of reads."""
+        """Drops what lies unread in the socket's buffer, without waiting and in a bounded number of reads."""
         with suppress(OSError):
             self.sock.settimeout(0.0)
             for _ in range(READS_PER_TURN):
--- a/myrtlecrank/edge/server.py
+++ b/myrtlecrank/edge/server.py
@@ -22,9 +22,7 @@
 BACKLOG_CONNECTIONS = 512
 RESERVED_SOCKETS = 24  # for the agent, the membership list and the interpreter's files: some ten are used
 NO_DESCRIPTOR_PAUSE_S = 0.05
-MAX_SWEEP_ELAPSED_MS = (
-    200.0  # that one sweep counts as elapsed, so that a pause of this process closes nothing
-)
+MAX_SWEEP_ELAPSED_MS = 200.0  # that one sweep counts, so that a pause of this process closes nothing
 GO_AWAY_TIMEOUT_MS = 2000.0  # a caller that has not closed an idle connection by then is considered gone
 # The system's errors when descriptors or socket memory run out.
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -231,7 +229,7 @@
     def last_words(self) -> None:
         """Sends the last answers and closes all connections, just before the process ends.
 
-        Unread bytes are read off first: they would turn the close into a reset that destroys the answers. The
+        Unread bytes are dropped first: they would turn the close into a reset that destroys the answers. The
         connections are closed here because the process takes some time to end, and a caller that writes
         meanwhile would find an open connection that nobody reads.
         """
--- a/myrtlecrank/frames/codec.py
+++ b/myrtlecrank/frames/codec.py
@@ -18,6 +18,7 @@
 MAX_REQUEST_BODY_BYTES = 2048
 MAX_RESULT_BYTES = 4096
 MAX_KEY_BYTES = 256
+MAX_QUOTED_BYTES = 40  # of an invalid field, in the message about it
 MAX_OPEN_STREAMS = 32  # exchanges that one connection may carry at a time
 
 EXCHANGE_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
@@ -216,7 +217,7 @@
         return default
     number = float(text) if pattern.fullmatch(text) else limit
     if number >= limit:
-        raise _InvalidPayload(f"the field {name.decode()!r} that reads {text[:40]!r}")
+        raise _InvalidPayload(f"the field {name.decode()!r} that reads {text[:MAX_QUOTED_BYTES]!r}")
     return number
 
 
@@ -225,7 +226,9 @@
         fields, at = _decode_fields(raw)
         exchange_id = fields.get(b"i", b"")
         if not EXCHANGE_ID_PATTERN.fullmatch(exchange_id):
-            raise _InvalidPayload(f"the field 'i' that reads {exchange_id[:40]!r}, expected 16 hex digits")
+            raise _InvalidPayload(
+                f"the field 'i' that reads {exchange_id[:MAX_QUOTED_BYTES]!r}, expected 16 hex digits"
+            )
         if b"c" not in fields:
             raise _InvalidPayload("no field 'c'")
         if len(raw) - at > MAX_REQUEST_BODY_BYTES:
--- a/myrtlecrank/membership_list/__init__.py
+++ b/myrtlecrank/membership_list/__init__.py
@@ -1,1 +1,1 @@
-"""The membership list that callers find this backend by."""
+"""The client of the membership list, in which callers find this backend."""
--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -28,12 +28,12 @@
 
 def decode_events(*pieces: bytes) -> list[Any]:
     events: list[Any] = []
-    link = Link(("127.0.0.1", 1), ["cpu", "on_cores", "memory", "connections"], events.append)
+    client = Link(("127.0.0.1", 1), ["cpu", "on_cores", "memory", "connections"], events.append)
     buffer = RingBuffer()
     for piece in pieces:
         buffer.append(piece)
         for notice in codec.decode_notices(buffer):
-            link.handle_notice(notice)
+            client.handle_notice(notice)
     return events
 
 
@@ -111,11 +111,11 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        link = Link(listener.getsockname(), [], messages.post)
-        actors = [gevent.spawn(serve_greetings, listener), gevent.spawn(link.run)]
+        client = Link(listener.getsockname(), [], messages.post)
+        actors = [gevent.spawn(serve_greetings, listener), gevent.spawn(client.run)]
         assert messages.take() == [Greeted(True, 9000.0)]
         connections[0][0].sendall(b"aside 7 hello\r\n")
-        while link.last_notice != 7:
+        while client.last_notice != 7:
             gevent.sleep(0)
         clock_s[0] += 3.9  # the next greeting is read 0.9 s late, which is not a restart
         connections[0][0].close()
@@ -139,16 +139,16 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        link = Link(listener.getsockname(), [], messages.post)
+        client = Link(listener.getsockname(), [], messages.post)
         actors = [
             gevent.spawn(serve_agent, listener, connections),
-            gevent.spawn(link.run),
-            gevent.spawn(link.write),
+            gevent.spawn(client.run),
+            gevent.spawn(client.write),
         ]
         assert messages.take() == [Greeted(False, 5.0)]
-        link.mailbox.post(Launch("aa", "group", b"x"))
+        client.mailbox.post(Launch("aa", "group", b"x"))
         for _ in range(MAX_SILENT_TICKS + 1):
-            link.look(0.0)
+            client.look(0.0)
         events = [message for _ in range(2) for message in messages.take()]
         while len(events) < 3:
             events += messages.take()
@@ -173,11 +173,11 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        link = Link(listener.getsockname(), [], messages.post)
-        actors = [gevent.spawn(serve_greetings, listener), gevent.spawn(link.run)]
+        client = Link(listener.getsockname(), [], messages.post)
+        actors = [gevent.spawn(serve_greetings, listener), gevent.spawn(client.run)]
         assert messages.take() == [Greeted(False, 9000.0)]
         connections[0][0].sendall(b"aside 7 hello\r\n")
-        while link.last_notice != 7:
+        while client.last_notice != 7:
             gevent.sleep(0)
         clock_s[0] += 0.1
         connections[0][0].close()
@@ -193,27 +193,27 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        link = Link(listener.getsockname(), [], messages.post)
+        client = Link(listener.getsockname(), [], messages.post)
         actors = [
             gevent.spawn(serve_agent, listener, connections),
-            gevent.spawn(link.run),
-            gevent.spawn(link.write),
+            gevent.spawn(client.run),
+            gevent.spawn(client.write),
         ]
         assert messages.take() == [Greeted(False, 5.0)]
         connections[0][0].sendall(b"outcome 9 aa FAIL 1 0\r\n\r\n")
         assert messages.take() == [RunEnded("aa", Outcome.ERROR, 1.0, b"")]
         if hangs:
             for _ in range(MAX_SILENT_TICKS):
-                assert link.sock
-                link.look(0.0)
-            assert link.drop_reason is None
-            link.look(0.0)
+                assert client.sock
+                client.look(0.0)
+            assert client.drop_reason is None
+            client.look(0.0)
         else:
             connections[0][0].close()
         end = messages.take()
         assert end == [Parted(End.SILENT if hangs else End.CLOSED)]
         assert messages.take() == [Greeted(False, 5.0)]
         assert [first_line for _, first_line in connections] == [b"subscribe 0\r\n", b"subscribe 9\r\n"]
-        link.mailbox.post(Sample("b2"))
+        client.mailbox.post(Sample("b2"))
         assert connections[1][0].recv(100) == b"sample b2\r\n"
         gevent.killall(actors)
