--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -26,7 +26,7 @@
 )
 from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
 from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
-from rig.multi_node import register_history, shuffle
+from rig.multi_node import reconfiguration_fuzz, register_history
 
 ABC = founding("abc")
 JOINT = ABC.changed("c", {"d": "d/1:1"})
@@ -374,18 +374,26 @@
 
 
 def test_any_order_of_messages_keeps_one_truth_while_voters_are_replaced() -> None:
-    played = [shuffle.play(seed, loses=seed % 2 == 0) for seed in range(1, 61)]
+    played = [reconfiguration_fuzz.play(seed, loses=seed % 2 == 0) for seed in range(1, 61)]
     assert [seed for seed, one in enumerate(played, 1) if not one.ok] == []
     assert sum(one.known for one in played) > 700 and sum(one.reseated for one in played) > 15
 
 
 @pytest.mark.parametrize(("bug", "seed"), [("no-joint", 16), ("no-rewrite", 16), ("any-roster", 238)])
 def test_planted_bugs_of_the_replacing_are_found(bug: str, seed: int) -> None:
-    assert not shuffle.play(seed, bug=bug).ok and shuffle.play(seed).ok
+    assert not reconfiguration_fuzz.play(seed, bug=bug).ok and reconfiguration_fuzz.play(seed).ok
 
 
 def test_a_planted_bug_is_taken_away_again() -> None:
-    before = shuffle.Roster.changed, shuffle.reseating.settle, shuffle.Voter._answer
-    for bug in shuffle.BUGS:
-        shuffle.play(1, bug=bug)
-    assert (shuffle.Roster.changed, shuffle.reseating.settle, shuffle.Voter._answer) == before
+    before = (
+        reconfiguration_fuzz.Roster.changed,
+        reconfiguration_fuzz.reseating.settle,
+        reconfiguration_fuzz.Voter._answer,
+    )
+    for bug in reconfiguration_fuzz.BUGS:
+        reconfiguration_fuzz.play(1, bug=bug)
+    assert (
+        reconfiguration_fuzz.Roster.changed,
+        reconfiguration_fuzz.reseating.settle,
+        reconfiguration_fuzz.Voter._answer,
+    ) == before
