--- a/benchmarks/repeats.py
+++ b/benchmarks/repeats.py
@@ -34,7 +34,7 @@
         self.core = Core(facts, 3200.0, self.commands.append, lambda _: None, now=0.0, repeats=bounds)
         self.chance = random.Random(1)
         self.now, self.count = 0.0, 0
-        self.core.turn([Greeted(False, 60_000.0)], 0.0)
+        self.core.process_batch([Greeted(False, 60_000.0)], 0.0)
 
     def _answer(self, _: Answer) -> None:
         self.answers += 1
@@ -60,13 +60,13 @@
             body,
             self._answer,
         )
-        self.core.turn([Arrived(ticket)], self.now)
+        self.core.process_batch([Arrived(ticket)], self.now)
         for command in self.commands:
             if isinstance(command, Launch):
                 ended = RunEnded(command.ident, Outcome.OK, 15.0, b"")
-                self.core.turn([ended], self.now + 1.0)
+                self.core.process_batch([ended], self.now + 1.0)
             elif isinstance(command, Sample):
-                self.core.turn([Sampled(command.tag, Gauges(0.5, 3.0, 0.1, 24.0))], self.now + 1.0)
+                self.core.process_batch([Sampled(command.tag, Gauges(0.5, 3.0, 0.1, 24.0))], self.now + 1.0)
         self.commands.clear()
 
     def round(self) -> float:
--- /dev/null
+++ b/myrtlecrank/core/exchange_entry.py
@@ -0,0 +1,63 @@
+"""The entry of one exchange in the actor's table."""
+
+from __future__ import annotations
+
+from myrtlecrank.core.messages import Deliver, Forgo, Ticket
+from myrtlecrank.policy import interface
+from myrtlecrank.policy.interface import Outcome
+
+
+class ExchangeEntry:
+    """One exchange, from its arrival until nothing can refer to it any more.
+
+    The numbers of commands (`start_number`, `cancel_number`, `resume_number`) are 0 where the command was
+    never sent, or may have been lost with the connection to the agent."""
+
+    __slots__ = (
+        "answered",
+        "call_body",
+        "call_started_at",
+        "cancel_number",
+        "cancel_requested",
+        "confirmed",
+        "conflicting_requests",
+        "ended_at",
+        "exchange",
+        "lost_start_outcome",
+        "original",
+        "outcome",
+        "request",
+        "request_hash",
+        "result",
+        "resume_command",
+        "resume_number",
+        "running",
+        "start_number",
+        "waiters",
+    )
+
+    def __init__(self, request: Ticket, exchange: interface.Exchange, original: ExchangeEntry | None) -> None:
+        self.request = request
+        self.exchange = exchange
+        self.original = (
+            original  # the earlier entry with the same result key, whose result this one may share
+        )
+        self.request_hash = hash(request.body)
+        self.answered = False
+        self.running = False
+        self.cancel_requested = False
+        self.lost_start_outcome: Outcome | None = None  # of a start command that was lost with its connection
+        self.outcome: Outcome | None = None
+        self.ended_at = 0.0
+        self.result = b""
+        self.waiters: list[ExchangeEntry] = []  # exchanges that share the result of this one
+        self.start_number = 0
+        self.cancel_number = 0
+        self.confirmed = (
+            False  # the agent ran it, so no conflicting request can be the one that the agent knows
+        )
+        self.conflicting_requests: list[Ticket] = []  # others with the same identifier or key
+        self.call_body = b""  # the request of the dependency call at which the execution waits
+        self.call_started_at: float | None = None  # while that call is outstanding
+        self.resume_command: Deliver | Forgo | None = None  # how the call ended, until the agent reports more
+        self.resume_number = 0
--- a/myrtlecrank/core/mailbox.py
+++ b/myrtlecrank/core/mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes: how the actors of the program speak with each other."""
+"""Mailboxes: the queues through which the actors of the program send messages to each other."""
 
 from __future__ import annotations
 
@@ -14,56 +14,59 @@
 
 
 class Mailbox(Generic[Message]):
-    """One actor reads it. Bounded for those who bring something new: put() waits for room. What answers
-    something that was counted on its way in goes by post(), which never waits, so that two actors cannot wait
-    for each other."""
+    """A queue with many senders and one actor that reads it.
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound
-        self._letters: deque[Message] = deque()
+    New work goes in by put(), which waits while the mailbox is full. Replies to work that was counted on its
+    way in go by post(), which never waits, so that two actors cannot block each other."""
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self._messages: deque[Message] = deque()
         self._reader: Waiter[None] | None = None  # the actor, while it waits
-        self._room = Event()
+        self._has_capacity = Event()
 
     def __len__(self) -> int:
-        return len(self._letters)
+        return len(self._messages)
 
-    def post(self, letter: Message) -> None:
-        self._letters.append(letter)
+    def post(self, message: Message) -> None:
+        """Adds a message without waiting, beyond the capacity if need be."""
+        self._messages.append(message)
         if self._reader is not None:
             self.wake()
 
-    def put(self, letter: Message) -> None:
-        while len(self._letters) >= self.bound:
-            self._room.clear()
-            self._room.wait()
-        self.post(letter)
+    def put(self, message: Message) -> None:
+        """Adds a message, after waiting while the mailbox is full."""
+        while len(self._messages) >= self.capacity:
+            self._has_capacity.clear()
+            self._has_capacity.wait()
+        self.post(message)
 
     def wake(self) -> None:
-        """Lets the actor go on, with no letter if none has come."""
+        """Ends the wait of take(), which returns an empty list if there is no message."""
         reader, self._reader = self._reader, None
         if reader is not None:
             get_hub().loop.run_callback(reader.switch, None)
 
-    def take(self, timeout_ms: float | None = None, most: int | None = None) -> list[Message]:
-        """All that is there, or the first `most`, after waiting for something; nothing when the time is over
-        or wake() was called."""
-        if not self._letters:
+    def take(self, timeout_ms: float | None = None, max_count: int | None = None) -> list[Message]:
+        """Returns all messages, or the first `max_count`, after waiting for at least one. Returns an empty
+        list after `timeout_ms` or a call of wake()."""
+        if not self._messages:
             reader: Waiter[None] = Waiter()
             self._reader = reader
-            limit = None if timeout_ms is None else gevent.Timeout.start_new(max(0.0, timeout_ms / 1000.0))
+            timeout = None if timeout_ms is None else gevent.Timeout.start_new(max(0.0, timeout_ms / 1000.0))
             try:
                 reader.get()
-            except gevent.Timeout as over:
-                if over is not limit:
+            except gevent.Timeout as expired:
+                if expired is not timeout:
                     raise
             finally:
-                if limit is not None:
-                    limit.close()
+                if timeout is not None:
+                    timeout.close()
             self._reader = None
-        if most is None or len(self._letters) <= most:
-            letters = list(self._letters)
-            self._letters.clear()
+        if max_count is None or len(self._messages) <= max_count:
+            messages = list(self._messages)
+            self._messages.clear()
         else:
-            letters = [self._letters.popleft() for _ in range(most)]
-        self._room.set()
-        return letters
+            messages = [self._messages.popleft() for _ in range(max_count)]
+        self._has_capacity.set()
+        return messages
--- a/rig/backend.py
+++ b/rig/backend.py
@@ -74,7 +74,7 @@
         if not self.alive:
             return
         letters, self.letters = self.letters, []
-        self.core.turn(letters, self.clock.now)
+        self.core.process_batch(letters, self.clock.now)
         timers = self.core.timers
         if timers and timers[0][0] != self.wind_at:
             at = self.wind_at = max(timers[0][0], self.clock.now)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -79,7 +79,7 @@
             self.turn(0.0, Greeted(False, 1000.0))
 
     def turn(self, now: float, *letters: Any) -> None:
-        self.core.turn(list(letters), now)
+        self.core.process_batch(list(letters), now)
 
     def ask(self, ident: str, now: float, **changes: Any) -> Ticket:
         values: dict[str, Any] = {"group": 0, "tenant": 0, "reached": now, "wait": 4000.0, "kb": 10.0}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -33,7 +33,7 @@
     assert play.commands(Launch) == [Launch("aa", "group", b"body")]
     play.turn(50.0, RunEnded("aa", Outcome.OK, 50.0, b"result"), RunEnded("aa", Outcome.OK, 50.0, b"again"))
     assert [(a.verdict, a.result) for a in play.answers] == [(Verdict.COMPLETED, b"result")]
-    assert not play.core.table and not play.core.entries and play.core.unanswered == 0
+    assert not play.core.entries_by_id and not play.core.entries_by_exchange and play.core.unanswered == 0
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.CANCELLED, Outcome.MOOT])
@@ -41,13 +41,13 @@
     play = Play()
     play.ask("aa", 0.0)
     play.turn(50.0, RunEnded("aa", outcome, 50.0, b""))
-    assert [a.verdict for a in play.answers] == [Verdict.TERMINATED] and not play.core.table
+    assert [a.verdict for a in play.answers] == [Verdict.TERMINATED] and not play.core.entries_by_id
 
 
 def test_time_on_the_way_to_the_module_counts_as_waited() -> None:
     play = Play()
     play.ask("aa", 700.0, reached=200.0, wait=1000.0)
-    (ex,) = play.core.entries
+    (ex,) = play.core.entries_by_exchange
     assert ex.waited == 500.0 and ex.left == 500.0
 
 
@@ -68,7 +68,7 @@
     assert now < 1000 and play.answers[0].verdict is not Verdict.COMPLETED
     assert play.commands(Freeze) == [Freeze("aa")]
     play.turn(1100.0, RunEnded("aa", Outcome.CANCELLED, 1090.0, b""))
-    assert len(play.answers) == 1 and not play.core.table
+    assert len(play.answers) == 1 and not play.core.entries_by_id
 
 
 def test_gauges_are_the_beat_and_late_ones_do_not_hold_it_up() -> None:
@@ -150,7 +150,7 @@
     for now in (501.0, 601.0, 701.0):
         play.turn(now)
         play.turn(now + 1.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
-    assert len(play.answers) == 1 and not play.core.table and not play.core.doubted
+    assert len(play.answers) == 1 and not play.core.entries_by_id and not play.core.entries_in_doubt
     assert play.core.controller and not play.core.controller.running
 
 
@@ -185,7 +185,7 @@
     play.turn(10.0, CallersLeft([ticket]))
     assert play.commands(Freeze) == [Freeze("aa")] and play.core.unanswered == 0
     play.turn(20.0, RunEnded("aa", Outcome.CANCELLED, 10.0, b""))
-    assert not play.answers and not play.core.table
+    assert not play.answers and not play.core.entries_by_id
 
 
 def test_a_name_in_use_starts_no_second_run() -> None:
@@ -195,7 +195,7 @@
     assert len(play.commands(Launch)) == 1 and not play.answers
     play.turn(9.0, RunEnded("aa", Outcome.OK, 9.0, b""))
     assert [a.verdict for a in play.answers] == [Verdict.COMPLETED, Verdict.TERMINATED]
-    assert not play.core.table and not play.core.contested and play.core.unanswered == 0
+    assert not play.core.entries_by_id and not play.core.entries_with_conflicts and play.core.unanswered == 0
 
 
 def test_the_real_one_of_two_under_a_name_is_served_whichever_came_first() -> None:
@@ -218,7 +218,7 @@
     play.turn(3.0, CallersLeft([gone]))
     play.turn(100.0)
     play.turn(101.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
-    assert {a.ticket for a in play.answers} == {late, gone} and "aa" in play.core.table
+    assert {a.ticket for a in play.answers} == {late, gone} and "aa" in play.core.entries_by_id
     again = play.ask("aa", 102.0, body=b"forged")
     assert play.answers[-1].ticket is again and play.core.unanswered == 1
 
@@ -263,7 +263,7 @@
 def test_an_exchange_leaves_nothing_for_the_collector() -> None:
     play = Play()
     play.ask("aa", 0.0)
-    (ex,) = play.core.entries
+    (ex,) = play.core.entries_by_exchange
     course = weakref.ref(ex.course)
     play.turn(9.0, RunEnded("aa", Outcome.OK, 9.0, b""))
     del ex
@@ -286,10 +286,10 @@
     play.turn(20.0, Leave(20.0))
     assert left == [] and play.health[-1] is False and play.core.stop_at == 3210.0
     play.ask("soon", 800.0, reached=800.0)
-    assert "soon" in play.core.table and not play.core.board.shut
+    assert "soon" in play.core.entries_by_id and not play.core.board.shut
     play.ask("late", 2500.0, reached=2500.0)
     assert left == [1] and play.core.board.shut
-    assert play.answers[-1].verdict is Verdict.DENIED and "late" not in play.core.table
+    assert play.answers[-1].verdict is Verdict.DENIED and "late" not in play.core.entries_by_id
     for now in range(2500, 3210, 50):
         play.turn(float(now))
     assert play.core.unanswered == 0
@@ -331,7 +331,11 @@
     play.ask("dd", 310.0, group=1, about="k")
     play.turn(311.0)
     # cc never left, so it runs now; bb may have had its effect, so its repeat does not run.
-    assert [c.ident for c in play.commands(Launch)] == ["aa", "bb", "cc"] and "dd" not in play.core.table
+    assert [c.ident for c in play.commands(Launch)] == [
+        "aa",
+        "bb",
+        "cc",
+    ] and "dd" not in play.core.entries_by_id
     controller = play.core.controller
     assert controller and controller.born == 280.0 and controller.warmth() < 0.25
 
@@ -348,7 +352,7 @@
     assert len(play.commands(Launch)) == 2
     play.turn(1150.0, RunEnded("dd", Outcome.ERROR, 50.0, b""))
     play.turn(9000.0)
-    assert not play.core.kept and not play.core.table and play.core.kept_bytes == 0
+    assert not play.core.cache.entries and not play.core.entries_by_id and play.core.cache.size_bytes == 0
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -261,7 +261,7 @@
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
     assert play.commands(Deliver) == [Deliver("aa", b"result")]
     play.turn(60.0, RunEnded("aa", Outcome.OK, 60.0, b"done"))
-    assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.table
+    assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.entries_by_id
     assert play.core.controller and play.core.controller.calls == 0
 
 
@@ -342,7 +342,7 @@
             break
     assert now < 4000 and play.asked[-1] == Abandon("aa")
     play.turn(4010.0, CallEnded("aa", Outcome.OK, b"late"), RunEnded("aa", Outcome.CANCELLED, 4000.0, b""))
-    assert not play.commands(Deliver) and not play.core.table and len(play.answers) == 1
+    assert not play.commands(Deliver) and not play.core.entries_by_id and len(play.answers) == 1
 
 
 def test_calls_are_settled_before_the_stop_too() -> None:
@@ -361,7 +361,7 @@
     play.turn(2.0, CallersLeft([ticket]))
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
     play.turn(60.0, RunEnded("aa", Outcome.CANCELLED, 60.0, b""))
-    assert not play.core.table and not play.answers
+    assert not play.core.entries_by_id and not play.answers
     assert play.core.controller and not play.core.controller.running
 
 
@@ -388,7 +388,7 @@
         play.turn(2.0, CallersLeft([ticket]))
     play.turn(3.0, RunEnded("aa", outcome, 3.0, b"r"))
     play.turn(4.0, CallEnded("aa", Outcome.OK, b"late"))
-    assert "aa" not in play.core.table and not controller.parked
+    assert "aa" not in play.core.entries_by_id and not controller.parked
     assert [one for one in play.asked if isinstance(one, Call)][made:] == []
     assert len(play.answers) == (not left)
     if place == "parked":
@@ -404,7 +404,7 @@
     play.turn(70.0, Greeted(True, 5.0, anew=True))
     play.turn(900.0, CallEnded("aa", Outcome.OK, b"late"))
     assert [a.ticket.ident for a in play.answers] == ["aa"] and play.asked[-1] == Abandon("aa")
-    assert not play.core.table and play.core.controller and play.core.controller.calls == 0
+    assert not play.core.entries_by_id and play.core.controller and play.core.controller.calls == 0
 
 
 def test_a_call_that_the_settings_do_not_know_of_ends_nothing() -> None:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -370,7 +370,7 @@
 
 def test_a_frame_that_waits_for_us_is_not_late(door: Door) -> None:
     connection, sock = door.open()
-    door.core.mailbox.bound = 0
+    door.core.mailbox.capacity = 0
     sock.sendall(ask_bytes(1) + ask_bytes(2)[:20])
     gevent.sleep(0.02)
     door.look(5000.0)
--- a/tests/test_keyed_exchanges.py
+++ b/tests/test_keyed_exchanges.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import Play, arrival, backend, group, of
 
-from myrtlecrank.core import actor
+from myrtlecrank.core import result_cache
 from myrtlecrank.core.connection_errors import End
 from myrtlecrank.core.messages import (
     CallersLeft,
@@ -81,7 +81,7 @@
         if play.commands(Sample):
             play.turn(now + 1.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
     assert launched(play) == ["aa"] and [v for _, v, _ in verdicts(play)] == [Verdict.TERMINATED] * 2
-    assert not play.core.table and play.core.unanswered == 0 and not play.core.doubted
+    assert not play.core.entries_by_id and play.core.unanswered == 0 and not play.core.entries_in_doubt
 
 
 @pytest.mark.parametrize("how", ["denied", "left", "refused"])
@@ -144,7 +144,7 @@
 
 
 def test_when_results_fill_their_room_the_keys_stay(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(actor, "KEPT_BYTES", 2 * actor.RESULT_AT_MOST)
+    monkeypatch.setattr(result_cache, "CACHE_MAX_BYTES", 2 * result_cache.RESULT_MAX_BYTES)
     play = keyed()
     for i in range(4):
         play.ask(f"a{i}", float(i), about=f"k{i}")
@@ -152,12 +152,12 @@
     play.ask("bb", 10.0, about="k0")
     play.ask("cc", 10.0, about="k3")
     play.turn(11.0)
-    assert len(launched(play)) == 4 and len(play.core.kept) == 4
+    assert len(launched(play)) == 4 and len(play.core.cache.entries) == 4
     assert verdicts(play)[-2:] == [("bb", Verdict.TERMINATED, b""), ("cc", Verdict.COMPLETED, b"r")]
-    assert play.core.kept_bytes == 2 * actor.RESULT_AT_MOST
+    assert play.core.cache.size_bytes == 2 * result_cache.RESULT_MAX_BYTES
     for now in range(100, 9600, 100):
         play.turn(float(now))
-    assert not play.core.kept and not play.core.heavy and play.core.kept_bytes == 0
+    assert not play.core.cache.entries and not play.core.cache.with_result and play.core.cache.size_bytes == 0
 
 
 def test_the_room_of_a_key_that_never_ran_is_free_at_once_and_given_back_once() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -322,8 +322,8 @@
     text = (
         "import myrtlecrank.core.actor as a\n"
         "def broken(*_): raise RuntimeError('boom')\n"
-        "a.Core.turn = broken\n"
-        "a.Core.run = lambda core: core.turn([], 0.0)\n"
+        "a.Core.process_batch = broken\n"
+        "a.Core.run = lambda core: core.process_batch([], 0.0)\n"
         "from myrtlecrank.cli import main; main(['serve'])"
     )
     done = outcome(tmp_path, text)
