--- a/myrtlecrank/core/__init__.py
+++ b/myrtlecrank/core/__init__.py
@@ -1,1 +1,1 @@
-"""The actor of the decision module, and what the other actors share with it. Knows no frame and no socket."""
+"""The actor of the controller, its messages and the state it publishes. Knows no frames and no sockets."""
--- a/myrtlecrank/core/connection_errors.py
+++ b/myrtlecrank/core/connection_errors.py
@@ -1,4 +1,4 @@
-"""How a connection can end, on any side of the program, and what that means to the module."""
+"""The reasons why a connection closed, for all peers alike, and the outcomes that they stand for."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 
 
 class End(Enum):
+    """Why a connection closed. The values are log texts."""
+
     CLOSED = "closed by the other side"
     RESET = "reset by the other side"
     UNREACHED = "could not be opened"
@@ -19,7 +21,7 @@
     LEFT = "closed by us"
 
 
-OUTCOMES = {
+OUTCOMES = {  # of what was outstanding on the connection
     End.CLOSED: Outcome.RESET,
     End.RESET: Outcome.RESET,
     End.UNREACHED: Outcome.UNREACHED,
@@ -32,7 +34,7 @@
 
 
 def of_error(error: OSError) -> End:
-    """The end that an error of a socket stands for."""
+    """Returns the reason that a socket error stands for."""
     if isinstance(error, TimeoutError):
         return End.SILENT
     if error.errno in (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EADDRNOTAVAIL):
--- a/myrtlecrank/core/messages.py
+++ b/myrtlecrank/core/messages.py
@@ -1,4 +1,4 @@
-"""What the actors tell each other. Times are Unix milliseconds or spans of milliseconds."""
+"""The messages between the actors. Times are Unix milliseconds, durations are milliseconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Verdict(Enum):
-    """The one final answer to an exchange."""
+    """The kinds of final answer to an exchange."""
 
     COMPLETED = "completed"
     DENIED = "denied"
@@ -22,81 +22,87 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One exchange as a front hands it in; `answer` takes the final answer and must not wait."""
+    """One exchange as the edge hands it in. Compared by identity."""
 
-    ident: str
-    group: int
-    tenant: int
+    ident: str  # the exchange's identifier
+    group: int  # index of its endpoint group
+    tenant: int  # index of its tenant
     reached: float  # when it came to the machine
-    wait: float | None  # how long its caller waits from then on, where that is told
-    kb: float
-    rank: float
-    caller: int
-    about: str  # what a read is about, or the key of a deduplicated exchange
+    wait: float | None  # how long its caller waits from then on; None: unknown
+    kb: float  # memory it needs
+    rank: float  # as stated by its caller
+    caller: int  # number of its caller
+    about: str  # the subject of a read, or the key of a deduplicated exchange
     body: bytes
-    answer: Callable[[Answer], None]
-    place: Any = None  # where the answer goes: the front's own
+    answer: Callable[[Answer], None]  # takes the final answer; must not block
+    place: Any = None  # where the answer goes; used by the edge alone
 
 
 @dataclass(slots=True)
 class Answer:
+    """The final answer to an exchange."""
+
     ticket: Ticket
     verdict: Verdict
     result: bytes = b""
-    wait: float = 0.0  # advice to stay away
-    last: bool = False  # not to be tried elsewhere
+    wait: float = 0.0  # how long the caller is advised to stay away
+    last: bool = False  # the caller must not try another backend
 
 
-# To the module's actor
+# Events: to the actor of the controller
 
 
 @dataclass(slots=True)
 class Arrived:
+    """An exchange arrived from a caller."""
+
     ticket: Ticket
 
 
 @dataclass(slots=True)
 class CallersLeft:
-    """The connection on which these were to be answered is gone."""
+    """The callers of these exchanges have given up or disconnected: they can no longer be answered."""
 
     tickets: list[Ticket]
 
 
 @dataclass(slots=True)
 class Greeted:
-    """The agent's link stands. The machine came up `up` ms ago, with warm or cold stores."""
+    """The agent is connected, handshake done. Its machine started `up` ms ago, with warm or cold caches."""
 
     cold: bool
     up: float
-    anew: bool = False  # it is another start than that of the link before: what ran then is gone
+    anew: bool = False  # restarted since the previous connection: its executions are lost
 
 
 @dataclass(slots=True)
 class Parted:
-    """The agent's link is gone."""
+    """The agent is disconnected."""
 
     end: End
 
 
 @dataclass(slots=True)
 class RunEnded:
+    """An execution has ended."""
+
     ident: str
     outcome: Outcome
-    took: float
+    took: float  # duration
     result: bytes
-    refused: bool = False  # the agent knows no such exchange
+    refused: bool = False  # the agent does not know the exchange
 
 
 @dataclass(slots=True)
 class Unsent:
-    """These were to be launched when there was no link any more: nothing of them left."""
+    """The start commands of these exchanges found no connection: no part of them was sent."""
 
     idents: list[str]
 
 
 @dataclass(slots=True)
 class AtCall:
-    """A run stands at a call to the layer below; `body` is what that is to be asked."""
+    """An execution waits for a call to the dependency, whose request is `body`."""
 
     ident: str
     body: bytes
@@ -104,6 +110,8 @@
 
 @dataclass(slots=True)
 class CallEnded:
+    """A call to the dependency has ended."""
+
     ident: str
     outcome: Outcome
     result: bytes
@@ -111,29 +119,33 @@
 
 @dataclass(slots=True)
 class Sampled:
+    """The gauges that the sample command with this tag asked for."""
+
     tag: str
     gauges: Gauges
 
 
 @dataclass(slots=True)
 class Leave:
-    """The notice to leave, and when it came: it may be read long after."""
+    """A drain was requested (SIGTERM) at the time `at`, possibly long before this message is handled."""
 
     at: float
 
 
 @dataclass(slots=True)
 class Adopt:
-    """The operators set the estimate of repeats anew; None turns it off."""
+    """The operators changed the options of the retry estimator; None turns it off."""
 
     repeats: Bounds | None
 
 
-# From it to the agent's link
+# Commands to the agent
 
 
 @dataclass(slots=True)
 class Launch:
+    """Start the execution of an exchange."""
+
     ident: str
     group: str
     body: bytes
@@ -141,17 +153,21 @@
 
 @dataclass(slots=True)
 class Freeze:
+    """Cancel an execution."""
+
     ident: str
 
 
 @dataclass(slots=True)
 class Sample:
+    """Measure the gauges and return them with this tag."""
+
     tag: str
 
 
 @dataclass(slots=True)
 class Deliver:
-    """What the layer below brought for the call that the run stands at."""
+    """Continue the execution with the result of its dependency call."""
 
     ident: str
     result: bytes
@@ -159,16 +175,18 @@
 
 @dataclass(slots=True)
 class Forgo:
-    """The run goes on without the call that it stands at."""
+    """Continue the execution without the result of its dependency call."""
 
     ident: str
 
 
-# From it to the link below
+# Commands to the dependency connection
 
 
 @dataclass(slots=True)
 class Call:
+    """Start a call for an execution."""
+
     ident: str
     timeout: float
     body: bytes
@@ -176,7 +194,7 @@
 
 @dataclass(slots=True)
 class Abandon:
-    """Nobody waits for this call any more; no end of it is told."""
+    """Cancel a call. Its end is not reported."""
 
     ident: str
 
