--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds controllers and the module's actor in a known state, and what is said to them."""
+"""Builders of controllers and of the core actor in a known state, and of the messages that they get."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 
 def group(kind: interface.Kind = interface.Kind.REPEATABLE, **facts: Any) -> interface.EndpointGroup:
+    """An endpoint group with usual times; `facts` replace its fields."""
     values: dict[str, Any] = {"slo": 1000.0, "timeout": 4000.0, "benefit": 1.0, "late_benefit": 0.2}
     values["window"] = 5000.0
     return interface.EndpointGroup("group", kind, **(values | facts))
 
 
 def backend(*groups: interface.EndpointGroup, **others: Any) -> tuple[Controller, list[Any]]:
+    """A started controller and the list to which its operations go."""
     ops: list[Any] = []
     controller = Controller(facts(*groups, **others), ops.append, 0.0)
     ops.clear()
@@ -44,44 +46,51 @@
 
 
 def arrival(left: float | None = 4000.0, kb: float = 10.0, **facts: Any) -> interface.Exchange:
+    """An exchange that has just arrived."""
     return interface.Exchange(**({"group": 0, "left": left, "waited": 0.0, "kb": kb} | facts))
 
 
 def arrive(controller: Controller, now: float, **facts: Any) -> interface.Exchange:
-    ex = arrival(**facts)
-    controller.arrived(ex, now)
+    """Hands an exchange to the controller in a batch of its own."""
+    exchange = arrival(**facts)
+    controller.arrived(exchange, now)
     controller.settle(now)
-    return ex
+    return exchange
 
 
 def of(ops: list[Any], kind: type, ex: interface.Exchange | None = None) -> list[Any]:
+    """The operations of one type, for all exchanges or for one."""
     return [op for op in ops if isinstance(op, kind) and (ex is None or op.ex is ex)]
 
 
 def answers(ops: list[Any], ex: interface.Exchange) -> list[Any]:
+    """The operations that answer the exchange without a run."""
     return of(ops, interface.Deny, ex) + of(ops, interface.Fail, ex)
 
 
 def facts(*groups: interface.EndpointGroup, **others: Any) -> interface.StartFacts:
+    """The start facts of a small backend; `others` replace its fields."""
     return interface.StartFacts(groups=list(groups) or [group()], **(FACTS | others))
 
 
 class Play:
-    """The module's actor with its agent and list played by hand."""
+    """A core actor, without sockets, whose agent and membership list are played by the test."""
 
     def __init__(self, *groups: interface.EndpointGroup, greeted: bool = True, **others: Any) -> None:
         self.commanded: list[Any] = []
         self.health: list[bool] = []
         self.answers: list[Answer] = []
-        told = facts(*groups, **others)
-        self.core = Core(told, 3200.0, self.commanded.append, self.health.append, now=0.0)
+        start_facts = facts(*groups, **others)
+        self.core = Core(start_facts, 3200.0, self.commanded.append, self.health.append, now=0.0)
         if greeted:
             self.turn(0.0, Greeted(False, 1000.0))
 
-    def turn(self, now: float, *letters: Any) -> None:
-        self.core.process_batch(list(letters), now)
+    def turn(self, now: float, *events: Any) -> None:
+        """Processes the events in one batch at the time `now`."""
+        self.core.process_batch(list(events), now)
 
     def ask(self, ident: str, now: float, **changes: Any) -> Ticket:
+        """Submits an exchange; `changes` replace its fields."""
         values: dict[str, Any] = {"group": 0, "tenant": 0, "reached": now, "wait": 4000.0, "kb": 10.0}
         values |= {"rank": 0.0, "caller": 1, "about": "", "body": b"body", "answer": self.answers.append}
         ticket = Ticket(ident, **(values | changes))
@@ -89,11 +98,12 @@
         return ticket
 
     def commands(self, kind: type) -> list[Any]:
+        """The commands of one type that the actor has sent to the agent."""
         return [command for command in self.commanded if isinstance(command, kind)]
 
 
 def ask_bytes(stream: int, body: bytes = b"body", doubled: str = "", **changes: str | None) -> bytes:
-    """A frame with an exchange as a caller sends it."""
+    """A frame with an exchange as a caller sends it; the field named `doubled` stands in it twice."""
     values = {"c": "group", "i": f"{stream:016x}", "s": "1764576000123", "f": "4", "t": "acme", "d": "480"}
     values |= {"m": "24.5", "p": "0.625"}
     rows = [(k, v) for k, v in (values | changes).items() if v is not None]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The module's actor, without sockets: one answer to each exchange, timers, links, drain, repeats."""
+"""The core actor without sockets: one answer to each exchange, timers, the agent, drain, shared results."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from myrtlecrank.policy.interface import Gauges, Kind, Outcome
 
 
-def test_a_run_brings_its_result_to_the_caller_once() -> None:
+def test_the_result_of_a_run_is_answered_once() -> None:
     play = Play()
     play.ask("aa", 0.0)
     assert play.commands(Launch) == [Launch("aa", "group", b"body")]
@@ -37,28 +37,28 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.CANCELLED, Outcome.MOOT])
-def test_a_run_without_a_result_is_answered_too(outcome: Outcome) -> None:
+def test_a_run_without_a_result_is_answered_as_terminated(outcome: Outcome) -> None:
     play = Play()
     play.ask("aa", 0.0)
     play.turn(50.0, RunEnded("aa", outcome, 50.0, b""))
     assert [a.verdict for a in play.answers] == [Verdict.TERMINATED] and not play.core.entries_by_id
 
 
-def test_time_on_the_way_to_the_module_counts_as_waited() -> None:
+def test_time_before_the_actor_handles_an_exchange_counts_as_waited() -> None:
     play = Play()
     play.ask("aa", 700.0, reached=200.0, wait=1000.0)
     (ex,) = play.core.entries_by_exchange
     assert ex.waited == 500.0 and ex.left == 500.0
 
 
-def test_a_clock_that_steps_back_does_not_turn_the_module_back() -> None:
+def test_a_clock_that_steps_back_does_not_turn_the_controller_back() -> None:
     play = Play()
     play.turn(5000.0)
     play.ask("aa", 100.0, reached=4990.0)
     assert play.core.now == 5000.0 and play.core.controller and play.core.controller.now == 5000.0
 
 
-def test_due_times_hold_while_the_agent_is_silent() -> None:
+def test_exchanges_are_answered_in_time_while_the_agent_is_silent() -> None:
     play = Play()
     play.ask("aa", 0.0, wait=1000.0)
     for now in range(10, 1001, 10):
@@ -71,7 +71,7 @@
     assert len(play.answers) == 1 and not play.core.entries_by_id
 
 
-def test_gauges_are_the_beat_and_late_ones_do_not_hold_it_up() -> None:
+def test_gauges_trigger_the_sampling_tick_which_late_gauges_do_not_delay() -> None:
     play = Play()
     controller = play.core.controller
     assert controller
@@ -87,7 +87,7 @@
     assert controller.beats == 2
 
 
-def test_what_a_lost_link_leaves_in_doubt_is_settled_after_the_missed_notices() -> None:
+def test_entries_in_doubt_are_settled_after_the_reports_that_a_reconnection_brings() -> None:
     play = Play(group(), group(kind=Kind.MUTATING))
     play.ask("aa", 0.0)
     play.ask("bb", 0.0, group=1)
@@ -97,12 +97,12 @@
     play.turn(30.0, Greeted(False, 30.0), RunEnded("aa", Outcome.OK, 5.0, b"r"))
     assert len(play.commands(Launch)) == 2
     play.turn(40.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
-    # aa has ended; bb may have run and has an effect; cc and dd never left.
+    # aa has ended; bb is mutating and may have run; cc and dd were never sent.
     assert [c.ident for c in play.commands(Launch)] == ["aa", "bb", "cc", "dd"]
 
 
 @pytest.mark.parametrize("end", list(End))
-def test_however_a_link_ends_what_was_launched_on_it_may_have_run(end: End) -> None:
+def test_a_mutating_start_is_not_sent_again_whatever_closed_the_connection(end: End) -> None:
     play = Play(group(kind=Kind.MUTATING))
     play.ask("aa", 0.0)
     play.turn(10.0, Parted(end))
@@ -111,7 +111,7 @@
     assert len(play.commands(Launch)) == 1
 
 
-def test_a_sample_of_a_lost_link_settles_nothing() -> None:
+def test_a_sample_of_an_earlier_connection_settles_nothing() -> None:
     play = Play()
     play.ask("aa", 0.0)
     play.turn(10.0, Parted(End.RESET))
@@ -124,7 +124,7 @@
     assert len(play.commands(Launch)) == 2
 
 
-def test_a_stop_that_found_no_link_is_sent_again() -> None:
+def test_a_cancel_command_that_found_no_connection_is_sent_after_reconnection() -> None:
     play = Play()
     play.ask("aa", 0.0, wait=500.0)
     play.turn(10.0, Parted(End.SILENT))
@@ -135,14 +135,14 @@
 
 
 @pytest.mark.parametrize("kind", list(Kind))
-@pytest.mark.parametrize("linked", [True, False])
-def test_a_launch_lost_with_its_link_holds_no_room_for_good(kind: Kind, linked: bool) -> None:
-    """The agent says nothing of a stop of a run that it never began."""
+@pytest.mark.parametrize("connected", [True, False])
+def test_a_start_command_lost_with_its_connection_frees_its_capacity(kind: Kind, connected: bool) -> None:
+    """The agent does not report the cancellation of an execution that it never started."""
     play = Play(group(kind=kind))
-    if not linked:
+    if not connected:
         play.turn(0.0, Parted(End.RESET))
     play.ask("aa", 1.0, wait=500.0)
-    if linked:
+    if connected:
         play.turn(2.0, Parted(End.RESET))
         play.turn(450.0)
         assert len(play.answers) == 1
@@ -154,7 +154,7 @@
     assert play.core.controller and not play.core.controller.running
 
 
-def test_what_the_agent_has_taken_in_is_in_no_doubt() -> None:
+def test_commands_that_the_agent_has_received_are_not_in_doubt() -> None:
     play = Play()
     play.ask("aa", 0.0)
     play.turn(100.0)
@@ -166,20 +166,20 @@
     assert [c.ident for c in play.commands(Launch)] == ["aa", "bb", "bb"]
 
 
-def test_nothing_runs_before_the_start() -> None:
+def test_nothing_runs_before_the_agent_has_connected() -> None:
     play = Play(greeted=False)
     play.ask("aa", 0.0)
     assert [a.verdict for a in play.answers] == [Verdict.TERMINATED] and play.core.board.well
 
 
-def test_the_greeting_tells_how_warm_the_machine_is() -> None:
+def test_warmth_starts_from_what_the_agent_reports_when_it_connects() -> None:
     play = Play(greeted=False)
     play.turn(1000.0, Greeted(True, 600.0))
     controller = play.core.controller
     assert controller and controller.born == 400.0 and controller.cold_from == 0.2 and play.health == [True]
 
 
-def test_a_caller_that_left_gets_no_answer_and_its_run_is_stopped() -> None:
+def test_an_abandoned_exchange_gets_no_answer_and_its_run_is_cancelled() -> None:
     play = Play()
     ticket = play.ask("aa", 0.0)
     play.turn(10.0, CallersLeft([ticket]))
@@ -188,7 +188,7 @@
     assert not play.answers and not play.core.entries_by_id
 
 
-def test_a_name_in_use_starts_no_second_run() -> None:
+def test_an_identifier_in_use_starts_no_second_run() -> None:
     play = Play()
     play.ask("aa", 0.0)
     play.ask("aa", 1.0)
@@ -198,7 +198,7 @@
     assert not play.core.entries_by_id and not play.core.entries_with_conflicts and play.core.unanswered == 0
 
 
-def test_the_real_one_of_two_under_a_name_is_served_whichever_came_first() -> None:
+def test_the_genuine_one_of_two_with_an_identifier_is_served_whichever_came_first() -> None:
     play = Play()
     first = play.ask("aa", 0.0, body=b"forged")
     second = play.ask("aa", 1.0)
@@ -210,7 +210,7 @@
     ]
 
 
-def test_one_under_a_name_that_the_agent_runs_is_turned_away_soon() -> None:
+def test_a_conflict_with_an_exchange_that_the_agent_runs_is_rejected_soon() -> None:
     play = Play()
     play.ask("aa", 0.0)
     late = play.ask("aa", 1.0, body=b"forged")
@@ -223,7 +223,7 @@
     assert play.answers[-1].ticket is again and play.core.unanswered == 1
 
 
-def test_one_that_waits_for_its_name_is_answered_before_long_and_before_the_stop() -> None:
+def test_a_conflicting_request_is_answered_within_a_second_and_before_the_stop() -> None:
     play = Play(cores=1)
     play.ask("zz", 0.0)
     play.ask("aa", 0.0)
@@ -239,28 +239,28 @@
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_what_found_no_link_any_more_never_left_and_is_launched_again(first: bool) -> None:
+def test_a_start_command_that_was_never_sent_is_sent_after_reconnection(first: bool) -> None:
     play = Play(group(kind=Kind.MUTATING))
     play.ask("aa", 0.0)
-    letters = [Parted(End.SILENT), Unsent(["aa", "gone"])]
-    play.turn(10.0, *(letters if first else reversed(letters)))
+    events = [Parted(End.SILENT), Unsent(["aa", "gone"])]
+    play.turn(10.0, *(events if first else reversed(events)))
     play.turn(20.0, Greeted(False, 20.0))
     play.turn(30.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
     assert [c.ident for c in play.commands(Launch)] == ["aa", "aa"]
 
 
-def test_connections_are_looked_after_before_the_start_as_well() -> None:
-    play, beats = Play(greeted=False), []
-    play.core.on_beat.append(beats.append)
+def test_tick_hooks_run_before_the_agent_has_connected_as_well() -> None:
+    play, ticks = Play(greeted=False), []
+    play.core.on_beat.append(ticks.append)
     play.turn(100.0)
     play.turn(250.0)
-    assert len(beats) == 2
+    assert len(ticks) == 2
     play.turn(260.0, Greeted(False, 1.0))
     play.turn(340.0)
-    assert len(beats) == 2
+    assert len(ticks) == 2
 
 
-def test_an_exchange_leaves_nothing_for_the_collector() -> None:
+def test_an_exchange_leaves_no_reference_cycle() -> None:
     play = Play()
     play.ask("aa", 0.0)
     (ex,) = play.core.entries_by_exchange
@@ -276,27 +276,28 @@
         gc.enable()
 
 
-def test_a_notice_to_leave_turns_health_bad_once_and_all_is_answered_before_the_stop() -> None:
+def test_a_drain_makes_the_backend_unhealthy_once_and_answers_all_before_the_stop() -> None:
     play = Play()
-    left: list[Any] = []
-    play.core.on_shut.append(lambda: left.append(1))
+    stopped: list[Any] = []
+    play.core.on_shut.append(lambda: stopped.append(1))
     for i in range(6):
         play.ask(f"a{i}", 0.0)
     play.turn(10.0, Leave(10.0))
     play.turn(20.0, Leave(20.0))
-    assert left == [] and play.health[-1] is False and play.core.stop_at == 3210.0
+    assert stopped == [] and play.health[-1] is False and play.core.stop_at == 3210.0
     play.ask("soon", 800.0, reached=800.0)
     assert "soon" in play.core.entries_by_id and not play.core.board.shut
     play.ask("late", 2500.0, reached=2500.0)
-    assert left == [1] and play.core.board.shut
+    assert stopped == [1] and play.core.board.shut
     assert play.answers[-1].verdict is Verdict.DENIED and "late" not in play.core.entries_by_id
     for now in range(2500, 3210, 50):
         play.turn(float(now))
     assert play.core.unanswered == 0
 
 
-def test_a_notice_that_lay_behind_other_letters_counts_from_when_it_came() -> None:
-    """It came at 100 and is read at 700: the grace of 1,000 and the stop do not wait for that."""
+def test_a_drain_counts_from_its_signal_and_not_from_the_handling_of_its_message() -> None:
+    """The signal comes at 100 ms and is handled at 700 ms, which delays neither the end of the grace period
+    of 1,000 ms nor the stop."""
     play = Play()
     play.turn(700.0, Leave(100.0))
     assert play.core.stop_at == 3300.0
@@ -306,7 +307,7 @@
     assert play.answers[-1].verdict is Verdict.DENIED
 
 
-def test_a_machine_that_comes_up_after_the_notice_gets_no_longer_grace_and_no_good_health() -> None:
+def test_an_agent_that_connects_during_a_drain_neither_extends_it_nor_makes_the_backend_healthy() -> None:
     play = Play(greeted=False)
     play.turn(0.0, Leave(0.0))
     play.turn(900.0, Greeted(True, 10.0))
@@ -317,7 +318,7 @@
     assert play.core.stop_at == 3200.0 and not play.core.board.well
 
 
-def test_what_ran_on_a_machine_that_began_anew_is_answered_at_once_and_cold_cores_are_spared() -> None:
+def test_a_restart_of_the_agent_ends_what_ran_and_starts_from_a_cold_machine() -> None:
     play = Play(group(), group(kind=Kind.DEDUPLICATED))
     play.ask("aa", 0.0)
     play.ask("bb", 0.0, group=1, about="k")
@@ -330,17 +331,14 @@
     play.turn(301.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
     play.ask("dd", 310.0, group=1, about="k")
     play.turn(311.0)
-    # cc never left, so it runs now; bb may have had its effect, so its repeat does not run.
-    assert [c.ident for c in play.commands(Launch)] == [
-        "aa",
-        "bb",
-        "cc",
-    ] and "dd" not in play.core.entries_by_id
+    # cc was never sent, so it runs now; bb may have taken effect, so its retry does not run.
+    assert [c.ident for c in play.commands(Launch)] == ["aa", "bb", "cc"]
+    assert "dd" not in play.core.entries_by_id
     controller = play.core.controller
     assert controller and controller.born == 280.0 and controller.warmth() < 0.25
 
 
-def test_reads_of_the_same_share_a_result_while_it_is_fresh() -> None:
+def test_reads_of_the_same_subject_share_a_result_while_it_is_fresh() -> None:
     play = Play(share_for=1000.0)
     play.ask("aa", 0.0, about="stop 7")
     play.ask("bb", 10.0, about="stop 7")
@@ -356,62 +354,62 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_comes_in_whatever_order_each_exchange_gets_one_answer_in_time(seed: int) -> None:
-    chance = random.Random(seed)
-    play = Play(group(), group(kind=Kind.MUTATING), share_for=chance.choice([0.0, 500.0]), cores=2)
-    tickets: dict[str, Any] = {}
+def test_each_exchange_gets_one_answer_in_time_under_random_events(seed: int) -> None:
+    rng = random.Random(seed)
+    play = Play(group(), group(kind=Kind.MUTATING), share_for=rng.choice([0.0, 500.0]), cores=2)
+    requests: dict[str, Any] = {}
     answered_at: dict[str, float] = {}
     gone: set[str] = set()
     running: dict[str, float] = {}
     launched: list[str] = []
-    linked, now, read = True, 0.0, 0
+    connected, now, read = True, 0.0, 0
     while now < 14_000.0:
-        now += chance.choice([1.0, 5.0, 20.0])
-        letters: list[Any] = []
+        now += rng.choice([1.0, 5.0, 20.0])
+        events: list[Any] = []
         before = len(play.answers)
-        if now < 9000.0 and chance.random() < 0.15:
-            ident = f"{len(tickets):x}"
-            about = chance.choice(["", "stop 1", "stop 2"])
-            tickets[ident] = play.ask(
+        if now < 9000.0 and rng.random() < 0.15:
+            ident = f"{len(requests):x}"
+            about = rng.choice(["", "stop 1", "stop 2"])
+            requests[ident] = play.ask(
                 ident,
                 now,
-                group=chance.randrange(2),
+                group=rng.randrange(2),
                 about=about,
                 reached=now - 3.0,
-                wait=chance.choice([0.0, 40.0, 300.0, 2000.0, 4000.0]),
+                wait=rng.choice([0.0, 40.0, 300.0, 2000.0, 4000.0]),
                 kb=60.0,
             )
-        if chance.random() < 0.02:
-            linked = not linked
-            letters.append(Greeted(False, now) if linked else Parted(chance.choice(list(End))))
-        for command in play.commanded[read:] if linked else []:
+        if rng.random() < 0.02:
+            connected = not connected
+            events.append(Greeted(False, now) if connected else Parted(rng.choice(list(End))))
+        for command in play.commanded[read:] if connected else []:
             if isinstance(command, Launch) and command.ident not in running:
                 launched.append(command.ident)
-                running[command.ident] = now + chance.choice([10.0, 200.0, 200.0, 1e9])
+                running[command.ident] = now + rng.choice([10.0, 200.0, 200.0, 1e9])
             elif isinstance(command, Freeze) and running.pop(command.ident, None):
-                letters.append(RunEnded(command.ident, Outcome.CANCELLED, 1.0, b""))
-            elif isinstance(command, Sample) and chance.random() < 0.8:
-                letters.append(Sampled(command.tag, Gauges(1.0, 3.0, 0.2, 4.0)))
+                events.append(RunEnded(command.ident, Outcome.CANCELLED, 1.0, b""))
+            elif isinstance(command, Sample) and rng.random() < 0.8:
+                events.append(Sampled(command.tag, Gauges(1.0, 3.0, 0.2, 4.0)))
         read = len(play.commanded)
-        for ident in [i for i, end in running.items() if end <= now and linked]:
+        for ident in [i for i, end in running.items() if end <= now and connected]:
             del running[ident]
-            end = chance.choice([Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.CANCELLED])
-            letters += [RunEnded(ident, end, 10.0, b"r")] * chance.choice([1, 1, 2])
-        if tickets and chance.random() < 0.01:
-            ident = chance.choice(list(tickets))
+            end = rng.choice([Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.CANCELLED])
+            events += [RunEnded(ident, end, 10.0, b"r")] * rng.choice([1, 1, 2])
+        if requests and rng.random() < 0.01:
+            ident = rng.choice(list(requests))
             gone.add(ident)
-            letters.append(CallersLeft([tickets[ident]]))
+            events.append(CallersLeft([requests[ident]]))
         if now > 9000.0 and play.core.stop_at is None:
-            letters.append(Leave(now))
-        play.turn(now, *letters)
+            events.append(Leave(now))
+        play.turn(now, *events)
         for answer in play.answers[before:]:
             assert answer.ticket.ident not in answered_at, "two answers"
             answered_at[answer.ticket.ident] = now
             if answer.ticket.group == 1 and answer.ticket.ident in launched:
                 assert answer.verdict is not Verdict.DENIED
-    for ident, ticket in tickets.items():
+    for ident, ticket in requests.items():
         at = answered_at.get(ident)
         assert at is not None or ident in gone
         assert at is None or at <= ticket.reached + ticket.wait + 25.0
-    mutating = [i for i in launched if tickets[i].group == 1]
-    assert len(mutating) == len(set(mutating)) and len(tickets) > 50 and play.core.unanswered == 0
+    mutating = [i for i in launched if requests[i].group == 1]
+    assert len(mutating) == len(set(mutating)) and len(requests) > 50 and play.core.unanswered == 0
--- a/tests/test_keyed_exchanges.py
+++ b/tests/test_keyed_exchanges.py
@@ -1,5 +1,5 @@
-"""Deduplicated exchanges: one run within the window whatever becomes of the first try, and no answer for
-those that use the key of another."""
+"""Deduplicated exchanges: one run within the window whatever becomes of the first try, and no result for
+requests that use the key of another."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
 
 
 def keyed(**others: Any) -> Play:
+    """A core actor with one deduplicated endpoint group."""
     return Play(group(Kind.DEDUPLICATED, window=5000.0), **({"idle": 30_000.0} | others))
 
 
@@ -37,7 +38,7 @@
     return [command.ident for command in play.commands(Launch)]
 
 
-def test_a_repeat_takes_the_outcome_of_the_first_try_while_it_runs_and_after() -> None:
+def test_a_retry_shares_the_outcome_of_the_first_try_during_its_run_and_after() -> None:
     play = keyed()
     play.ask("aa", 0.0, about="k")
     play.ask("bb", 10.0, about="k")
@@ -49,7 +50,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.CANCELLED])
-def test_what_ran_without_success_is_not_run_again_and_never_denied(outcome: Outcome) -> None:
+def test_a_failed_run_is_not_repeated_and_its_retry_is_never_denied(outcome: Outcome) -> None:
     play = keyed()
     play.ask("aa", 0.0, about="k")
     play.turn(50.0, RunEnded("aa", outcome, 50.0, b""))
@@ -58,8 +59,8 @@
     assert launched(play) == ["aa"] and [v for _, v, _ in verdicts(play)] == [Verdict.TERMINATED] * 2
 
 
-def test_a_repeat_that_comes_as_its_first_try_loses_its_caller_waits_for_the_run() -> None:
-    """The connection breaks under the run, and the repeat is in the same batch."""
+def test_a_retry_in_the_batch_that_abandons_its_first_try_waits_for_the_run() -> None:
+    """The caller's connection breaks during the run, and its retry arrives at once."""
     play = keyed()
     first = play.ask("aa", 0.0, about="k")
     play.turn(9.0, CallersLeft([first]))
@@ -69,7 +70,7 @@
     assert launched(play) == ["aa"] and verdicts(play) == [("bb", Verdict.COMPLETED, b"r")]
 
 
-def test_a_launch_that_may_be_lost_with_its_link_is_not_made_again_for_the_repeat() -> None:
+def test_a_start_command_with_unknown_outcome_is_not_sent_again_for_a_retry() -> None:
     play = keyed()
     play.ask("aa", 0.0, about="k", wait=1000.0)
     play.turn(5.0, Parted(End.RESET))
@@ -85,10 +86,10 @@
 
 
 @pytest.mark.parametrize("how", ["denied", "left", "refused"])
-def test_what_never_ran_stands_in_no_repeats_way(how: str) -> None:
+def test_a_first_try_that_never_ran_does_not_block_its_retry(how: str) -> None:
     play = keyed(cores=1, crowd_per_core=1.0)
     if how != "refused":
-        play.ask("zz", 0.0, about="other")  # the only one that may run
+        play.ask("zz", 0.0, about="other")  # takes all capacity
     first = play.ask("aa", 1.0, about="k", wait=300.0)
     if how == "left":
         play.turn(2.0, CallersLeft([first]))
@@ -96,7 +97,7 @@
         play.ask("bb", 2.0, about="k")
         play.turn(400.0)
         play.turn(401.0)
-        # The one that waited for it is answered at once, and not when its own time is up.
+        # The retry that waited for it is answered at once, and not at the end of its own time.
         assert [i for i, _, _ in verdicts(play)] == ["aa", "bb"]
     else:
         play.turn(2.0, RunEnded("aa", Outcome.MOOT, 0.0, b"", refused=True))
@@ -105,7 +106,7 @@
     assert launched(play)[-1] == "cc"
 
 
-def test_a_repeat_that_came_within_the_window_and_is_read_after_it_is_known() -> None:
+def test_a_retry_that_arrives_within_the_window_and_is_handled_after_it_is_recognised() -> None:
     play = keyed()
     play.ask("aa", 0.0, about="k")
     play.turn(50.0, RunEnded("aa", Outcome.OK, 50.0, b"r"))
@@ -118,7 +119,7 @@
     assert launched(play) == ["aa", "cc"]
 
 
-def test_one_that_uses_the_key_of_another_gets_nothing_of_its_run() -> None:
+def test_a_request_with_the_key_of_another_gets_no_result() -> None:
     play = keyed()
     play.ask("aa", 0.0, about="k")
     play.ask("ff", 1.0, about="k", body=b"forged")
@@ -133,7 +134,7 @@
     ]
 
 
-def test_one_that_used_a_key_before_its_owner_costs_the_owner_nothing() -> None:
+def test_a_request_that_uses_a_key_before_its_owner_does_not_harm_the_owner() -> None:
     play = keyed()
     play.ask("ff", 0.0, about="k", body=b"forged")
     play.ask("aa", 1.0, about="k")
@@ -143,7 +144,7 @@
     assert launched(play) == ["ff", "aa"] and verdicts(play)[-1] == ("aa", Verdict.COMPLETED, b"r")
 
 
-def test_when_results_fill_their_room_the_keys_stay(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_when_the_cache_is_full_results_are_evicted_but_keys_stay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(result_cache, "CACHE_MAX_BYTES", 2 * result_cache.RESULT_MAX_BYTES)
     play = keyed()
     for i in range(4):
@@ -160,13 +161,13 @@
     assert not play.core.cache.entries and not play.core.cache.with_result and play.core.cache.size_bytes == 0
 
 
-def test_the_room_of_a_key_that_never_ran_is_free_at_once_and_given_back_once() -> None:
+def test_the_memory_of_a_key_that_never_ran_is_freed_at_once_and_only_once() -> None:
     controller, ops = backend(group(Kind.DEDUPLICATED, window=5000.0), key_kb=100.0)
-    ex = arrival()
-    controller.arrived(ex, 0.0)
+    exchange = arrival()
+    controller.arrived(exchange, 0.0)
     controller.settle(0.0)
-    assert controller.used_kb == 200.0  # running and its key
-    controller.finished(ex, Outcome.MOOT, 0.0, 1.0)
+    assert controller.used_kb == 200.0  # the run and its key
+    controller.finished(exchange, Outcome.MOOT, 0.0, 1.0)
     assert controller.used_kb == 0.0 and of(ops, interface.Retain)
     controller.settle(6000.0)
     assert controller.used_kb == 0.0
