--- a/benchmarks/repeats.py
+++ b/benchmarks/repeats.py
@@ -85,7 +85,7 @@
     held = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     repeats = bench.core.repeats
-    return held + (repeats.given.bytes / 1e6 if repeats is not None else 0.0)
+    return held + (repeats.uncompleted.size_bytes / 1e6 if repeats is not None else 0.0)
 
 
 def main() -> dict[str, float]:
--- a/myrtlecrank/core/actor.py
+++ b/myrtlecrank/core/actor.py
@@ -50,9 +50,9 @@
 from myrtlecrank.policy.controller import Controller
 from myrtlecrank.policy.interface import Gauges, Kind, Outcome
 from myrtlecrank.retries import exchange_marks
-from myrtlecrank.retries.estimator import Repeats, Tide
+from myrtlecrank.retries.estimator import Repeats, StormStatus
 from myrtlecrank.retries.options import Bounds
-from myrtlecrank.retries.storm_log import Report
+from myrtlecrank.retries.storm_log import StormLog
 
 MAILBOX_CAPACITY = 2048  # messages
 BATCH_MAX_MESSAGES = 128  # a longer batch would keep the event loop from the sockets
@@ -105,7 +105,7 @@
         self.now = now_ms() if now is None else now
         self.controller: Controller | None = None  # None until the agent has connected for the first time
         self.repeats: Repeats | None = None
-        self.storm_log = Report()
+        self.storm_log = StormLog()
         self.agent_connected = False
         self.entries_by_id: dict[str, ExchangeEntry] = {}
         self.entries_by_exchange: dict[interface.Exchange, ExchangeEntry] = {}
@@ -619,14 +619,14 @@
             timeouts = [group.timeout for group in self.facts.groups]
             self.repeats = Repeats(timeouts, self.facts.seed, options, self.now)
         else:
-            self.repeats.adopt(options)
+            self.repeats.change_options(options)
 
     def _check_for_storm(self, estimator: Repeats) -> bool:
         status = estimator.tide(self.now)
         self._log_storm(status)
         return status.storm
 
-    def _log_storm(self, status: Tide | None) -> None:
+    def _log_storm(self, status: StormStatus | None) -> None:
         for line in self.storm_log.lines(status, self.board.value, self.now):
             logger.info("{}", line)
 
--- a/myrtlecrank/retries/__init__.py
+++ b/myrtlecrank/retries/__init__.py
@@ -1,2 +1,2 @@
-"""How much of what arrives is likely repeats, and which callers heed nothing. Decisions only: no I/O, no
+"""Estimates which arrivals are retries and which callers ignore backpressure. Decisions only: no I/O and no
 clock."""
--- a/myrtlecrank/retries/caller_timeouts.py
+++ b/myrtlecrank/retries/caller_timeouts.py
@@ -1,75 +1,94 @@
-"""Which times left are those of first tries.
+"""Which remaining times are those of first tries.
 
-Callers wait a fixed time for a first try and what is left of the whole deadline for a further one. So first
-tries of an endpoint group pile up on one or a few exact values of the time left, and further ones lie
-anywhere. Seen on played days: of 37,349 exchanges each of the 36,685 first tries told 557 or 558 ms, and each
-of the 682 further ones its deadline less its age, 1,000 to 1,482 ms. Nothing is taken for granted of which is
-longer."""
+Callers wait a fixed time for a first try, and what is left of the whole deadline for a retry. So the first
+tries of an endpoint group pile up on one or a few exact values of the remaining time, and retries lie
+anywhere. In simulated traffic of 37,349 exchanges, each of the 36,685 first tries stated 557 or 558 ms, and
+each of the 682 retries its deadline less its age, 1,000 to 1,482 ms. No assumption is made on which of the
+two is longer."""
 
 from __future__ import annotations
 
 from array import array
 
-WIDE = 2.0  # ms in a bin
-REACH = 2  # bins on either side that belong to a peak: times are told in whole ms
-FLANK = 10  # bins on either side that a peak must stand out from
-HEIGHT = 4.0  # times the mean of its flanks
-MASS = 0.12  # of all that came, for a peak
-MIDDLE = MASS / (2 * REACH + 1)  # of all that came, at the least in the middle of a peak
-MOST = 4096  # bins
-EARLY, LATE = 0.97, 1.12  # of the time waited for a first try, when the next is sent
-SLICE = 512  # arrivals after which what is older counts half
+BIN_WIDTH_MS = 2.0  # wider for deadlines that need more than BIN_COUNT bins
+BIN_COUNT = 4096
+PEAK_HALF_WIDTH_BINS = 2  # on either side of a peak's centre: times are stated in whole ms
+PEAK_WIDTH_BINS = 2 * PEAK_HALF_WIDTH_BINS + 1
+FLANK_BINS = 10  # on either side of a peak's centre: the peak must stand out from them
+MIN_PEAK_TO_FLANK = 4.0  # ratio to the mean of the flanks
+MIN_PEAK_SHARE = 0.12  # of all arrivals, in a peak
+MIN_CENTRE_SHARE = MIN_PEAK_SHARE / PEAK_WIDTH_BINS  # of all arrivals, in the centre bin of a peak
+RETRY_EARLIEST = 0.97  # of a first try's timeout, after which its retry is sent
+RETRY_LATEST = 1.12
+FADE_SAMPLES = 512  # after so many arrivals, older ones count half
+FIRST_UPDATE_SAMPLES = 32  # interval between searches for peaks before the first fade
+NEGLIGIBLE_COUNT = 0.05  # in a bin
 
 
-class Patience:
-    """The times left of one endpoint group, as a histogram whose past fades with each slice of arrivals."""
+class TimeoutHistogram:
+    """The remaining times of one endpoint group, as a histogram that fades every FADE_SAMPLES arrivals."""
 
     def __init__(self, deadline: float) -> None:
-        self.wide = max(WIDE, 2.0 * deadline / MOST)
-        self.bins = array("f", bytes(4 * MOST))
-        self.total, self.since = 0.0, 0
-        self.peaks: list[int] = []
-        self.high: set[int] = set()  # bins that may be the middle of a peak
+        self.bin_width_ms = max(BIN_WIDTH_MS, 2.0 * deadline / BIN_COUNT)
+        self.bins = array("f", bytes(4 * BIN_COUNT))
+        self.total = 0.0
+        self.samples_since_fade = 0
+        self.peaks: list[int] = []  # centre bins
+        self.candidates: set[int] = set()  # bins that may be the centre of a peak
 
-    def waited(self, age: float) -> bool:
-        """Whether a try of that age comes just after a first try that was waited for in vain."""
-        return any(EARLY * at <= age <= LATE * at for at in ((peak + 0.5) * self.wide for peak in self.peaks))
+    def follows_timeout(self, age: float) -> bool:
+        """Whether a retry of this age, in ms, comes just after its first try timed out."""
+        timeouts = ((peak + 0.5) * self.bin_width_ms for peak in self.peaks)
+        return any(RETRY_EARLIEST * timeout <= age <= RETRY_LATEST * timeout for timeout in timeouts)
 
-    def note(self, left: float) -> bool:
-        """Takes one arrival's time left in; whether it lies on a peak."""
-        at = min(MOST - 1, max(0, int(left / self.wide)))
-        self.bins[at] += 1.0
+    def record(self, left: float) -> bool:
+        """Adds the remaining time of one arrival, in ms. Returns whether it lies on a peak."""
+        index = min(BIN_COUNT - 1, max(0, int(left / self.bin_width_ms)))
+        self.bins[index] += 1.0
         self.total += 1.0
-        self.since += 1
-        if self.bins[at] >= MIDDLE * self.total:
-            self.high.add(at)
-        if self.since >= SLICE or (self.total < SLICE and self.since % 32 == 0):
-            self._learn()
-        return any(abs(at - peak) <= REACH for peak in self.peaks)
+        self.samples_since_fade += 1
+        if self.bins[index] >= MIN_CENTRE_SHARE * self.total:
+            self.candidates.add(index)
+        if self.samples_since_fade >= FADE_SAMPLES or (
+            self.total < FADE_SAMPLES and self.samples_since_fade % FIRST_UPDATE_SAMPLES == 0
+        ):
+            self._update_peaks()
+        return any(abs(index - peak) <= PEAK_HALF_WIDTH_BINS for peak in self.peaks)
 
-    def _mass(self, at: int) -> float:
-        return sum(self.bins[max(0, at - REACH) : at + REACH + 1])
+    def _peak_weight(self, centre: int) -> float:
+        return sum(self.bins[max(0, centre - PEAK_HALF_WIDTH_BINS) : centre + PEAK_HALF_WIDTH_BINS + 1])
 
-    def _learn(self) -> None:
-        found: list[int] = []
-        self.high = {at for at in self.high if self.bins[at] >= MIDDLE * self.total}
-        for at in sorted(self.high, key=self.bins.__getitem__, reverse=True):
-            if any(abs(at - peak) <= 2 * REACH for peak in found):
+    def _flank_weight(self, centre: int) -> float:
+        """The weight of a peak's width at the mean level of the flanks."""
+        flanks = [
+            self.bins[index]
+            for side in (-1, 1)
+            for index in range(
+                centre + side * (PEAK_HALF_WIDTH_BINS + 1), centre + side * (FLANK_BINS + 1), side
+            )
+            if 0 <= index < BIN_COUNT
+        ]
+        return sum(flanks) / len(flanks) * PEAK_WIDTH_BINS
+
+    def _update_peaks(self) -> None:
+        peaks: list[int] = []
+        self.candidates = {
+            index for index in self.candidates if self.bins[index] >= MIN_CENTRE_SHARE * self.total
+        }
+        for centre in sorted(self.candidates, key=self.bins.__getitem__, reverse=True):
+            if any(abs(centre - peak) <= 2 * PEAK_HALF_WIDTH_BINS for peak in peaks):
                 continue
-            flanks = [
-                self.bins[i]
-                for side in (-1, 1)
-                for i in range(at + side * (REACH + 1), at + side * (FLANK + 1), side)
-                if 0 <= i < MOST
-            ]
-            level = sum(flanks) / len(flanks) * (2 * REACH + 1)
-            mass = self._mass(at)
-            if mass >= MASS * self.total and mass >= HEIGHT * level:
-                found.append(at)
-        self.peaks = found
-        if self.since >= SLICE:
-            self.since = 0
-            self.total *= 0.5
-            for at in range(MOST):
-                if self.bins[at]:
-                    self.bins[at] = self.bins[at] * 0.5 if self.bins[at] > 0.05 else 0.0
+            flank_weight = self._flank_weight(centre)
+            weight = self._peak_weight(centre)
+            if weight >= MIN_PEAK_SHARE * self.total and weight >= MIN_PEAK_TO_FLANK * flank_weight:
+                peaks.append(centre)
+        self.peaks = peaks
+        if self.samples_since_fade >= FADE_SAMPLES:
+            self._fade()
+
+    def _fade(self) -> None:
+        self.samples_since_fade = 0
+        self.total *= 0.5
+        for index in range(BIN_COUNT):
+            if self.bins[index]:
+                self.bins[index] = self.bins[index] * 0.5 if self.bins[index] > NEGLIGIBLE_COUNT else 0.0
--- a/myrtlecrank/retries/estimator.py
+++ b/myrtlecrank/retries/estimator.py
@@ -1,66 +1,80 @@
-"""The estimate of repeats: for each arrival how likely it is one and how old its wish, for the backend the
-share of late and whether a storm is on. Free of I/O and clocks: called with facts and the time now, in ms."""
+"""The retry estimator: for each arrival the probability that it is a retry and the age of its first try, and
+for the backend the share of retries and whether there is a retry storm.
+
+Free of I/O and clocks: it is called with facts and the current time, in ms."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from myrtlecrank.retries.abandoned import GivenUp
-from myrtlecrank.retries.caller_timeouts import Patience
-from myrtlecrank.retries.noncompliance import STEP_MS, Heeding
+from myrtlecrank.retries.abandoned import UncompletedDigests
+from myrtlecrank.retries.caller_timeouts import TimeoutHistogram
+from myrtlecrank.retries.noncompliance import FADE_STEP_MS, ComplianceTracker
 from myrtlecrank.retries.options import Bounds
 
-SHARE_MS = 1000.0  # over which the share is taken
-ALIKE, OFF_PEAK, ALIKE_ON_PEAK, ON_PEAK = 0.95, 0.9, 0.5, 0.05  # likely a repeat, by what is seen
+SHARE_HALF_LIFE_MS = 1000.0  # of the counts that make up the share of retries
+MIN_RECENT_ARRIVALS = 8.0  # faded count below which no share is stated
+
+# Probabilities that an arrival is a retry, by what is known of it
+DIGEST_MATCHES = 0.95  # where nothing is known of the remaining times of first tries
+REMAINING_TIME_OFF_PEAK = 0.9
+DIGEST_MATCHES_ON_PEAK = 0.5  # a popular subject of which some were denied looks the same
+REMAINING_TIME_ON_PEAK = 0.05
 
 
 @dataclass(slots=True)
-class View:
-    """What is thought of one arrival."""
+class ArrivalEstimate:
+    """The estimate for one arrival."""
 
-    likely: float = 0.0  # that it is a repeat, 0 to 1; 0 where nothing is known
-    age: float = 0.0  # ms since its first try reached a machine, where it is likely a repeat
-    deaf: bool = False  # its caller heeds neither credit nor advice
+    retry_probability: float = 0.0  # 0 where nothing is known
+    age: float = 0.0  # ms since its first try reached a machine, where it is probably a retry
+    noncompliant: bool = False  # its caller ignores backpressure
 
 
 @dataclass(slots=True)
-class Tide:
-    """What the backend as a whole sees."""
+class StormStatus:
+    """The estimate for the backend as a whole."""
 
-    share: float | None  # of arrivals of late that are likely repeats; None: too little was seen
+    retry_share: float | None  # of recent arrivals; None: too few were seen
     storm: bool
-    deaf: int  # callers that heed nothing; counted in a storm only
+    noncompliant_callers: int  # counted during a storm only
 
 
 class Repeats:
-    def __init__(self, deadlines: Sequence[float], seed: int, bounds: Bounds, now: float) -> None:
+    """Estimates retries and the compliance of callers for one backend."""
+
+    def __init__(self, deadlines: Sequence[float], seed: int, options: Bounds, now: float) -> None:
         """`deadlines`: the async timeout of each endpoint group; `seed`: of the digests."""
-        self.bounds, self.deadlines = bounds, list(deadlines)
-        self.patience = [Patience(deadline) for deadline in deadlines]
-        self.given = GivenUp(seed, bounds.digests, bounds.memory_ms)
-        self.heeding = Heeding(bounds.callers, bounds.news_ms, bounds.deaf_from, bounds.deaf_half_ms)
+        self.options = options
+        self.deadlines = list(deadlines)
+        self.histograms = [TimeoutHistogram(deadline) for deadline in deadlines]
+        self.uncompleted = UncompletedDigests(seed, options.digests, options.memory_ms)
+        self.compliance = ComplianceTracker(
+            options.callers, options.news_ms, options.deaf_from, options.deaf_half_ms
+        )
         self.now = now
-        self.arrivals = self.again = 0.0  # of late
-        self.came = 0
+        self.recent_arrivals = 0.0  # faded
+        self.recent_retries = 0.0  # faded
+        self.total_arrivals = 0
         self.storm = False
-        self.crossed = now  # since when the share is beyond the bound that would change `storm`
-
-    def adopt(self, bounds: Bounds) -> None:
-        """Takes new bounds over. What was learned stays, but for tables whose size changed."""
-        old, self.bounds = self.bounds, bounds
-        if (bounds.digests, bounds.memory_ms) != (old.digests, old.memory_ms):
-            self.given = GivenUp(self.given.seed, bounds.digests, bounds.memory_ms)
-        self.heeding.adopt(bounds.callers, bounds.news_ms, bounds.deaf_from, bounds.deaf_half_ms)
-
-    def _pass(self, now: float) -> None:
-        """The clock may step back; what was counted then only fades later."""
-        if self.now <= now < self.now + STEP_MS:
+        self.threshold_crossed_at = now  # since when the share is beyond the limit that would change `storm`
+
+    def change_options(self, options: Bounds) -> None:
+        """Takes over new options. Learned state stays, except in tables whose size or duration changes."""
+        previous, self.options = self.options, options
+        if (options.digests, options.memory_ms) != (previous.digests, previous.memory_ms):
+            self.uncompleted = UncompletedDigests(self.uncompleted.seed, options.digests, options.memory_ms)
+        self.compliance.configure(options.callers, options.news_ms, options.deaf_from, options.deaf_half_ms)
+
+    def _fade(self, now: float) -> None:
+        """The clock may step back: the counts then fade later."""
+        if self.now <= now < self.now + FADE_STEP_MS:
             return
         if now > self.now:
-            fade = 0.5 ** ((now - self.now) / SHARE_MS)
-            self.arrivals *= fade
-            self.again *= fade
+            factor = 0.5 ** ((now - self.now) / SHARE_HALF_LIFE_MS)
+            self.recent_arrivals *= factor
+            self.recent_retries *= factor
         self.now = now
 
     def arrived(
@@ -73,33 +87,40 @@
         left: float | None,
         reached: float,
         now: float,
-    ) -> View:
-        """`left`: the time left that its caller told, counted from `reached`, when it came to the machine."""
-        self._pass(now)
-        self.given.turn(now)
-        self.came += 1
-        deaf = self.heeding.arrived(caller, reached, now)
-        alike = bool(body) and self.given.arrived(self.given.digest(group, tenant, rank, body))
-        patience, peak, known = self.patience[group], False, False
+    ) -> ArrivalEstimate:
+        """Records an arrival and returns its estimate.
+
+        `left`: the remaining time that its caller stated, from `reached` on, when it came to the machine."""
+        self._fade(now)
+        self.uncompleted.rotate_if_due(now)
+        self.total_arrivals += 1
+        noncompliant = self.compliance.record_arrival(caller, reached, now)
+        digest_matches = bool(body) and self.uncompleted.record_arrival(
+            self.uncompleted.digest(group, tenant, rank, body)
+        )
+        histogram = self.histograms[group]
+        on_peak = False
+        peaks_known = False
         if left is not None:
-            peak = patience.note(left)
-            known = bool(patience.peaks) and patience.total >= self.bounds.least_arrivals
-        if known and not peak:
-            likely = OFF_PEAK
-        elif alike:
-            likely = ALIKE_ON_PEAK if known else ALIKE  # a popular subject that was denied looks so too
+            on_peak = histogram.record(left)
+            peaks_known = bool(histogram.peaks) and histogram.total >= self.options.least_arrivals
+        if peaks_known and not on_peak:
+            probability = REMAINING_TIME_OFF_PEAK
+        elif digest_matches:
+            probability = DIGEST_MATCHES_ON_PEAK if peaks_known else DIGEST_MATCHES
         else:
-            likely = ON_PEAK if known else 0.0
+            probability = REMAINING_TIME_ON_PEAK if peaks_known else 0.0
         age = 0.0
-        if known and not peak and left is not None:
+        if peaks_known and not on_peak and left is not None:
             age = max(0.0, self.deadlines[group] - left)
-        soon = likely if likely > ON_PEAK and not patience.waited(age) else 0.0
-        self.heeding.likely(caller, soon)
-        self.arrivals += 1.0
-        self.again += likely if likely > ON_PEAK else 0.0
-        if self.came < self.bounds.least_arrivals:
-            return View(deaf=deaf)
-        return View(likely, age, deaf)
+        probably_retry = probability > REMAINING_TIME_ON_PEAK
+        quick = probably_retry and not histogram.follows_timeout(age)
+        self.compliance.record_quick_retry(caller, probability if quick else 0.0)
+        self.recent_arrivals += 1.0
+        self.recent_retries += probability if probably_retry else 0.0
+        if self.total_arrivals < self.options.least_arrivals:
+            return ArrivalEstimate(noncompliant=noncompliant)
+        return ArrivalEstimate(probability, age, noncompliant)
 
     def answered(
         self,
@@ -108,36 +129,45 @@
         rank: float,
         body: bytes,
         caller: int,
-        given_up: bool,
+        uncompleted: bool,
         wait: float,
         credit: float | None,
         now: float,
     ) -> None:
-        """`given_up`: its answer was no completion, so it may come again."""
-        if given_up and body:
-            self.given.gave_up(self.given.digest(group, tenant, rank, body))
-        self.heeding.answered(caller, wait, credit, now)
+        """Records an answer. `uncompleted`: it was rejected or failed, so it may be retried; `wait`: how long
+        its caller was advised to stay away; `credit`: the published value."""
+        if uncompleted and body:
+            self.uncompleted.record_uncompleted(self.uncompleted.digest(group, tenant, rank, body))
+        self.compliance.record_answer(caller, wait, credit, now)
 
     def left(self, caller: int, now: float) -> None:
-        """Its connection is gone before the answer."""
-        self.heeding.left(caller, now)
-
-    def tide(self, now: float) -> Tide:
-        """Asked once a beat: share, and whether a storm is on."""
-        self._pass(now)
-        bounds = self.bounds
-        share = (
-            self.again / self.arrivals
-            if self.arrivals >= 8.0 and self.came >= bounds.least_arrivals
-            else None
-        )
-        beyond = share is not None and (
-            share < bounds.storm_until if self.storm else share >= bounds.storm_from
-        )
-        if share is None and self.storm:
-            beyond = True  # hardly anything comes
-        if not beyond or now < self.crossed:
-            self.crossed = now
-        elif now - self.crossed >= (bounds.end_ms if self.storm else bounds.begin_ms):
-            self.storm, self.crossed = not self.storm, now
-        return Tide(share, self.storm, self.heeding.deaf() if self.storm else 0)
+        """Records that the caller gave up an exchange or disconnected before its answer."""
+        self.compliance.record_abandonment(caller, now)
+
+    def tide(self, now: float) -> StormStatus:
+        """Returns the share of retries and whether there is a storm. Called on each sampling tick."""
+        self._fade(now)
+        retry_share = self._retry_share()
+        threshold_crossed = self._is_threshold_crossed(retry_share)
+        if not threshold_crossed or now < self.threshold_crossed_at:
+            self.threshold_crossed_at = now
+        elif now - self.threshold_crossed_at >= (
+            self.options.end_ms if self.storm else self.options.begin_ms
+        ):
+            self.storm = not self.storm
+            self.threshold_crossed_at = now
+        noncompliant_callers = self.compliance.noncompliant_count() if self.storm else 0
+        return StormStatus(retry_share, self.storm, noncompliant_callers)
+
+    def _retry_share(self) -> float | None:
+        if self.recent_arrivals < MIN_RECENT_ARRIVALS or self.total_arrivals < self.options.least_arrivals:
+            return None
+        return self.recent_retries / self.recent_arrivals
+
+    def _is_threshold_crossed(self, retry_share: float | None) -> bool:
+        """Whether the share calls for a change of `storm`. A storm also ends when hardly anything arrives."""
+        if retry_share is None:
+            return self.storm
+        if self.storm:
+            return retry_share < self.options.storm_until
+        return retry_share >= self.options.storm_from
--- a/myrtlecrank/retries/exchange_marks.py
+++ b/myrtlecrank/retries/exchange_marks.py
@@ -1,4 +1,5 @@
-"""Carries exchanges to the estimate, and what it thinks of them into port.Exchange, for every host alike."""
+"""Passes exchanges to the retry estimator and its estimates into interface.Exchange, for all hosts of the
+controller alike."""
 
 from __future__ import annotations
 
@@ -6,22 +7,41 @@
 from myrtlecrank.retries.estimator import Repeats
 
 
-def arrived(repeats: Repeats | None, ex: Exchange, body: bytes, wait: float | None, now: float) -> None:
-    """`wait`: how long the caller told that it waits, from when the exchange reached the machine."""
-    if repeats is not None:
-        reached = now - ex.waited
-        view = repeats.arrived(ex.group, ex.tenant, ex.rank, body, ex.caller, wait, reached, now)
-        ex.likely, ex.age, ex.deaf = view.likely, view.age, view.deaf
+def arrived(
+    estimator: Repeats | None, exchange: Exchange, body: bytes, wait: float | None, now: float
+) -> None:
+    """Sets the estimates of an arrival, if there is an estimator.
+
+    `wait`: how long the caller stated that it waits, from when the exchange reached the machine."""
+    if estimator is not None:
+        reached = now - exchange.waited
+        estimate = estimator.arrived(
+            exchange.group, exchange.tenant, exchange.rank, body, exchange.caller, wait, reached, now
+        )
+        exchange.likely = estimate.retry_probability
+        exchange.age = estimate.age
+        exchange.deaf = estimate.noncompliant
 
 
 def answered(
-    repeats: Repeats | None,
-    ex: Exchange,
+    estimator: Repeats | None,
+    exchange: Exchange,
     body: bytes,
-    given_up: bool,
+    uncompleted: bool,
     wait: float,
     credit: float | None,
     now: float,
 ) -> None:
-    if repeats is not None:
-        repeats.answered(ex.group, ex.tenant, ex.rank, body, ex.caller, given_up, wait, credit, now)
+    """Records an answer, if there is an estimator. See Repeats.answered."""
+    if estimator is not None:
+        estimator.answered(
+            exchange.group,
+            exchange.tenant,
+            exchange.rank,
+            body,
+            exchange.caller,
+            uncompleted,
+            wait,
+            credit,
+            now,
+        )
--- a/myrtlecrank/retries/options.py
+++ b/myrtlecrank/retries/options.py
@@ -1,4 +1,4 @@
-"""What the operators may set of the estimate of repeats. Times in ms."""
+"""The options of the retry estimator in the operators' file. Times in ms."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Section [repeats]. All figures, with the values that are used where the operators say nothing."""
+    """Section [repeats]: all options, with their defaults. Names and help texts are shown to operators."""
 
     on: bool = figure(True, what="false: the program is as it is without the estimate")
     storm_from: float = figure(0.30, 0.05, 0.95, "share of likely repeats from which a storm is on")
@@ -26,16 +26,16 @@
 
 
 def contradictions(bounds: Bounds) -> list[str]:
-    """What is legal alone and senseless together, a line each."""
-    wrong = []
+    """Returns a line for each combination of options that makes no sense, though each alone is allowed."""
+    problems = []
     if bounds.storm_until >= bounds.storm_from:
-        wrong.append(
+        problems.append(
             f"storm_until: is {bounds.storm_until:g}, not below storm_from {bounds.storm_from:g}: "
             "a storm would begin and end on the same share"
         )
     if bounds.least_arrivals > 4 * bounds.digests:
-        wrong.append(
+        problems.append(
             f"least_arrivals: is {bounds.least_arrivals}, over four times digests {bounds.digests}: "
             "what arrived would be forgotten before anything is estimated"
         )
-    return wrong
+    return problems
--- a/rig/ground_truth.py
+++ b/rig/ground_truth.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass, field
 
-from myrtlecrank.retries.estimator import SHARE_MS
+from myrtlecrank.retries.estimator import SHARE_HALF_LIFE_MS
 from rig.backend import Backend
 from rig.callers import Try
 from rig.fleet import Fleet
@@ -24,7 +24,7 @@
     seen: bool = False  # the estimate told a storm since then
 
     def fade(self) -> None:
-        keep = 0.5 ** (LOOK_MS / SHARE_MS)
+        keep = 0.5 ** (LOOK_MS / SHARE_HALF_LIFE_MS)
         self.arrivals *= keep
         self.again *= keep
 
@@ -64,9 +64,12 @@
             self.looks += 1
             if share.arrivals >= 8.0:
                 true = share.again / share.arrivals
-                if repeats.arrivals >= 8.0 and repeats.came >= repeats.bounds.least_arrivals:
+                if (
+                    repeats.recent_arrivals >= 8.0
+                    and repeats.total_arrivals >= repeats.options.least_arrivals
+                ):
                     weight = share.arrivals
-                    self.off_by += weight * abs(repeats.again / repeats.arrivals - true)
+                    self.off_by += weight * abs(repeats.recent_retries / repeats.recent_arrivals - true)
                     self.weight += weight
                 self._onset(share, true, repeats.storm, now)
                 self.false_ms += LOOK_MS * (repeats.storm and true < NONE)
@@ -90,7 +93,11 @@
             repeats = backend.core.repeats
             if not backend.alive or repeats is None or not repeats.storm:
                 continue
-            known = {n for n, told in repeats.heeding.told.items() if repeats.heeding.is_deaf(told)}
+            known = {
+                n
+                for n, told in repeats.compliance.callers.items()
+                if repeats.compliance.is_noncompliant(told)
+            }
             self.deaf_right += len(known & truly)
             self.deaf_all += len(truly)
             self.wrongly_deaf += len(known - truly)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,9 +14,9 @@
 from myrtlecrank.edge.accept_rate import Accepting
 from myrtlecrank.operators.file import LONGEST, OperatorsError
 from myrtlecrank.policy.interface import Gauges
-from myrtlecrank.retries.estimator import Tide
+from myrtlecrank.retries.estimator import StormStatus
 from myrtlecrank.retries.options import Bounds
-from myrtlecrank.retries.storm_log import Report
+from myrtlecrank.retries.storm_log import StormLog
 
 ROOT = Path(__file__).parent.parent
 
@@ -137,7 +137,7 @@
     before = play.core.repeats
     play.turn(10.0, Adopt(Bounds(least_arrivals=1, digests=128)))
     assert play.core.repeats is before and before is not None and before.storm
-    assert before.given.most == 128
+    assert before.uncompleted.capacity == 128
 
 
 def test_turned_off_in_the_middle_of_a_storm_it_ends_and_every_exchange_is_answered() -> None:
@@ -156,9 +156,9 @@
 
 
 def test_a_storm_makes_a_line_when_it_begins_one_a_minute_and_one_when_it_ends() -> None:
-    report, lines = Report(), list[str]()
+    report, lines = StormLog(), list[str]()
     for at in range(0, 200_000, 100):
-        tide = Tide(0.5, 10_000 <= at < 150_000, 3)
+        tide = StormStatus(0.5, 10_000 <= at < 150_000, 3)
         lines += report.lines(tide, 1.25, float(at))
     assert [line.split(":")[0] for line in lines[:3]] == [
         "a storm of repeats begins",
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""The estimate of repeats, on facts alone."""
+"""The retry estimator and its parts, without I/O and clocks."""
 
 from __future__ import annotations
 
@@ -6,249 +6,252 @@
 
 import pytest
 
-from myrtlecrank.retries.abandoned import GivenUp
-from myrtlecrank.retries.caller_timeouts import Patience
+from myrtlecrank.retries.abandoned import UncompletedDigests
+from myrtlecrank.retries.caller_timeouts import TimeoutHistogram
 from myrtlecrank.retries.estimator import Repeats
-from myrtlecrank.retries.noncompliance import Heeding
+from myrtlecrank.retries.noncompliance import ComplianceTracker
 from myrtlecrank.retries.options import Bounds
 
 DEADLINE = 2500.0
 
 
-class Days:
-    """Arrivals in a row, told to an estimate by hand."""
+class Traffic:
+    """A sequence of arrivals, one each 10 ms, and the estimator that records them."""
 
-    def __init__(self, seed: int = 1, **bounds: object) -> None:
-        self.repeats = Repeats([DEADLINE], seed, Bounds(**bounds), 0.0)  # type: ignore[arg-type]
-        self.chance = random.Random(seed)
+    def __init__(self, seed: int = 1, **options: object) -> None:
+        self.repeats = Repeats([DEADLINE], seed, Bounds(**options), 0.0)  # type: ignore[arg-type]
+        self.rng = random.Random(seed)
         self.now = 0.0
         self.count = 0
 
-    def first(self, left: float = 1000.0, caller: int = 1, body: bytes | None = None, rank: float = 0.5):
+    def arrive(self, left: float = 1000.0, caller: int = 1, body: bytes | None = None, rank: float = 0.5):
         self.count += 1
         self.now += 10.0
         body = b"subject %d" % self.count if body is None else body
         return self.repeats.arrived(0, 0, rank, body, caller, left, self.now, self.now)
 
-    def calm(self, arrivals: int = 200, left: float = 1000.0, caller: int = 1) -> None:
+    def first_tries(self, arrivals: int = 200, left: float = 1000.0, caller: int = 1) -> None:
         for _ in range(arrivals):
-            self.first(left, caller)
+            self.arrive(left, caller)
             self.repeats.answered(0, 0, 0.5, b"subject %d" % self.count, caller, False, 0.0, None, self.now)
 
-    def storm(self, seconds: int = 3, part: float = 0.6, caller: int = 2) -> None:
-        """First tries among repeats whose time left lies anywhere; a beat every 100 ms."""
+    def storm(self, seconds: int = 3, retry_share: float = 0.6, caller: int = 2) -> None:
+        """First tries among retries whose remaining time lies anywhere; a sampling tick each 100 ms."""
         for i in range(seconds * 100):
-            repeat = self.chance.random() < part
-            self.first(self.chance.uniform(100.0, 2400.0) if repeat else 1000.0, caller if repeat else 1)
+            is_retry = self.rng.random() < retry_share
+            self.arrive(self.rng.uniform(100.0, 2400.0) if is_retry else 1000.0, caller if is_retry else 1)
             if i % 10 == 0:
                 self.repeats.tide(self.now)
 
 
-def test_first_tries_pile_up_on_one_time_left_and_others_are_likely_repeats() -> None:
-    days = Days()
-    days.calm()
-    assert days.first(1000.0).likely < 0.1
-    view = days.first(1900.0)
-    assert view.likely >= 0.9
-    assert view.age == pytest.approx(DEADLINE - 1900.0)
+def test_arrivals_off_the_peak_of_remaining_times_are_probably_retries() -> None:
+    traffic = Traffic()
+    traffic.first_tries()
+    assert traffic.arrive(1000.0).retry_probability < 0.1
+    estimate = traffic.arrive(1900.0)
+    assert estimate.retry_probability >= 0.9
+    assert estimate.age == pytest.approx(DEADLINE - 1900.0)
 
 
-def test_two_habits_of_waiting_are_both_first_tries() -> None:
-    days = Days()
+def test_two_timeouts_for_first_tries_make_two_peaks() -> None:
+    traffic = Traffic()
     for _ in range(200):
-        days.first(1000.0)
-        days.first(677.0)
-    assert days.first(1000.0).likely < 0.1
-    assert days.first(677.0).likely < 0.1
-    assert days.first(1400.0).likely >= 0.9
+        traffic.arrive(1000.0)
+        traffic.arrive(677.0)
+    assert traffic.arrive(1000.0).retry_probability < 0.1
+    assert traffic.arrive(677.0).retry_probability < 0.1
+    assert traffic.arrive(1400.0).retry_probability >= 0.9
 
 
-def test_repeats_at_any_age_make_no_peak_of_their_own() -> None:
-    """In a storm most of what comes are repeats: they must not pass for a habit."""
-    patience, chance = Patience(DEADLINE), random.Random(4)
+def test_retries_of_any_age_make_no_peak() -> None:
+    """In a retry storm most arrivals are retries: they must not count as first tries."""
+    histogram, rng = TimeoutHistogram(DEADLINE), random.Random(4)
     for _ in range(3000):
-        patience.note(1000.0 if chance.random() < 0.2 else chance.uniform(100.0, 2450.0))
-    assert [round((peak + 0.5) * patience.wide) for peak in patience.peaks] == [1001]
+        histogram.record(1000.0 if rng.random() < 0.2 else rng.uniform(100.0, 2450.0))
+    assert [round((peak + 0.5) * histogram.bin_width_ms) for peak in histogram.peaks] == [1001]
 
 
-def test_quick_repeats_near_the_whole_deadline_are_no_habit_either() -> None:
-    """Denied at once and sent again 15 to 60 ms later: most lie close together, though not on one value."""
-    patience, chance = Patience(DEADLINE), random.Random(5)
+def test_quick_retries_near_the_whole_deadline_make_no_peak_either() -> None:
+    """Denied at once and sent again 15 to 100 ms later, most lie close together but not on one value."""
+    histogram, rng = TimeoutHistogram(DEADLINE), random.Random(5)
     for _ in range(3000):
-        patience.note(1000.0 if chance.random() < 0.5 else DEADLINE - chance.uniform(15.0, 100.0))
-    assert len(patience.peaks) == 1
+        histogram.record(1000.0 if rng.random() < 0.5 else DEADLINE - rng.uniform(15.0, 100.0))
+    assert len(histogram.peaks) == 1
 
 
-def test_no_estimate_while_cold_rather_than_a_wrong_one() -> None:
-    days = Days(least_arrivals=40)
+def test_there_is_no_estimate_before_the_least_number_of_arrivals() -> None:
+    traffic = Traffic(least_arrivals=40)
     for _ in range(39):
-        assert days.first(days.chance.uniform(10.0, 2400.0)).likely == 0.0
-    assert days.repeats.tide(days.now).share is None
-    assert not days.repeats.tide(days.now).storm
+        assert traffic.arrive(traffic.rng.uniform(10.0, 2400.0)).retry_probability == 0.0
+    assert traffic.repeats.tide(traffic.now).retry_share is None
+    assert not traffic.repeats.tide(traffic.now).storm
 
 
-def test_a_storm_that_begins_while_the_estimate_is_cold_is_seen_once_it_is_warm() -> None:
-    days = Days()
-    days.storm(seconds=5, part=0.6)
-    tide = days.repeats.tide(days.now)
-    assert tide.storm
-    assert tide.share == pytest.approx(0.55, abs=0.12)
+def test_a_storm_that_is_on_from_the_first_arrival_is_detected() -> None:
+    traffic = Traffic()
+    traffic.storm(seconds=5, retry_share=0.6)
+    status = traffic.repeats.tide(traffic.now)
+    assert status.storm
+    assert status.retry_share == pytest.approx(0.55, abs=0.12)
 
 
-def test_a_storm_is_told_and_ends_with_the_repeats() -> None:
-    days = Days()
-    days.calm()
-    assert not days.repeats.tide(days.now).storm
-    days.storm()
-    assert days.repeats.tide(days.now).storm
+def test_a_storm_is_detected_and_ends_with_the_retries() -> None:
+    traffic = Traffic()
+    traffic.first_tries()
+    assert not traffic.repeats.tide(traffic.now).storm
+    traffic.storm()
+    assert traffic.repeats.tide(traffic.now).storm
     for _ in range(60):
-        days.calm(10)
-        days.repeats.tide(days.now)
-    assert not days.repeats.tide(days.now).storm
+        traffic.first_tries(10)
+        traffic.repeats.tide(traffic.now)
+    assert not traffic.repeats.tide(traffic.now).storm
 
 
-def test_one_caller_with_nine_tenths_of_the_traffic_that_repeats_nothing_is_no_storm() -> None:
-    days = Days()
+def test_one_caller_with_nine_tenths_of_the_traffic_and_no_retries_is_no_storm() -> None:
+    traffic = Traffic()
     for i in range(2000):
-        days.first(1000.0, caller=9 if i % 10 else 1)
+        traffic.arrive(1000.0, caller=9 if i % 10 else 1)
         if i % 10 == 0:
-            days.repeats.tide(days.now)
-    tide = days.repeats.tide(days.now)
-    assert not tide.storm and tide.deaf == 0
-    assert tide.share is not None and tide.share < 0.02
+            traffic.repeats.tide(traffic.now)
+    status = traffic.repeats.tide(traffic.now)
+    assert not status.storm and status.noncompliant_callers == 0
+    assert status.retry_share is not None and status.retry_share < 0.02
 
 
-def test_all_callers_behind_one_number_still_show_a_storm() -> None:
-    days = Days()
-    days.calm(caller=7)
-    days.storm(caller=7)
-    assert days.repeats.tide(days.now).storm
+def test_a_storm_is_detected_although_all_callers_share_a_number() -> None:
+    traffic = Traffic()
+    traffic.first_tries(caller=7)
+    traffic.storm(caller=7)
+    assert traffic.repeats.tide(traffic.now).storm
 
 
-def test_repeats_that_meet_each_backend_once_are_seen_by_their_time_left() -> None:
-    """No digest ever comes twice here."""
-    days = Days()
-    days.calm()
-    days.storm(part=0.7)
-    share = days.repeats.tide(days.now).share
+def test_retries_that_come_to_each_backend_once_are_detected_by_their_remaining_time() -> None:
+    """No digest occurs twice here."""
+    traffic = Traffic()
+    traffic.first_tries()
+    traffic.storm(retry_share=0.7)
+    share = traffic.repeats.tide(traffic.now).retry_share
     assert share is not None and share > 0.5
 
 
-def test_a_repeat_of_what_was_given_up_here_is_known_by_its_likeness_where_no_time_left_is_told() -> None:
+def test_a_retry_is_recognised_by_its_digest_where_no_remaining_time_is_stated() -> None:
     repeats = Repeats([DEADLINE], 1, Bounds(least_arrivals=1), 0.0)
     repeats.arrived(0, 0, 0.5, b"one", 1, None, 0.0, 0.0)
     repeats.answered(0, 0, 0.5, b"one", 1, True, 0.0, None, 10.0)
-    assert repeats.arrived(0, 0, 0.5, b"one", 1, None, 20.0, 20.0).likely > 0.9
-    assert repeats.arrived(0, 1, 0.5, b"one", 1, None, 21.0, 21.0).likely == 0.0, "another tenant's"
-    assert repeats.arrived(0, 0, 0.5, b"two", 1, None, 22.0, 22.0).likely == 0.0
+    assert repeats.arrived(0, 0, 0.5, b"one", 1, None, 20.0, 20.0).retry_probability > 0.9
+    assert repeats.arrived(0, 1, 0.5, b"one", 1, None, 21.0, 21.0).retry_probability == 0.0, (
+        "of another tenant"
+    )
+    assert repeats.arrived(0, 0, 0.5, b"two", 1, None, 22.0, 22.0).retry_probability == 0.0
 
 
-def test_a_popular_subject_is_told_from_repeats() -> None:
-    """A coach party asks for one stop; some of it is denied, and the rest keeps coming."""
+def test_a_popular_subject_is_distinguished_from_retries() -> None:
+    """Twenty callers ask for the same subject; one of them is denied, and another one arrives."""
     repeats = Repeats([DEADLINE], 1, Bounds(least_arrivals=1), 0.0)
     for at in range(20):
         repeats.arrived(0, 0, 0.5, b"stop", at, None, float(at), float(at))
     repeats.answered(0, 0, 0.5, b"stop", 3, True, 0.0, None, 21.0)
-    assert repeats.arrived(0, 0, 0.5, b"stop", 30, None, 22.0, 22.0).likely == 0.0
+    assert repeats.arrived(0, 0, 0.5, b"stop", 30, None, 22.0, 22.0).retry_probability == 0.0
 
 
-def test_a_flood_of_distinct_digests_shortens_the_memory_and_never_fills_it() -> None:
-    given = GivenUp(seed=3, most=1000, span=10_000.0)
-    size = given.bytes
+def test_a_flood_of_distinct_digests_shortens_the_memory_and_cannot_fill_it() -> None:
+    digests = UncompletedDigests(seed=3, capacity=1000, max_age_ms=10_000.0)
+    size = digests.size_bytes
     for i in range(50_000):
-        given.turn(float(i) * 0.01)
-        given.arrived(given.digest(0, 0, 0.5, b"flood %d" % i))
-    assert given.bytes == size
-    assert given.turned_early > 20
-    fresh = given.digest(0, 0, 0.5, b"honest")
-    given.arrived(fresh)
-    given.gave_up(fresh)
-    assert given.arrived(fresh)
+        digests.rotate_if_due(float(i) * 0.01)
+        digests.record_arrival(digests.digest(0, 0, 0.5, b"flood %d" % i))
+    assert digests.size_bytes == size
+    assert digests.early_rotations > 20
+    fresh = digests.digest(0, 0, 0.5, b"honest")
+    digests.record_arrival(fresh)
+    digests.record_uncompleted(fresh)
+    assert digests.record_arrival(fresh)
 
 
 def test_digests_depend_on_the_seed() -> None:
-    """Guards against bodies made to collide: who does not know the seed cannot make them."""
-    assert GivenUp(1, 10, 1.0).digest(0, 0, 0.5, b"x") != GivenUp(2, 10, 1.0).digest(0, 0, 0.5, b"x")
+    """Without the seed, clients cannot craft bodies whose digests collide."""
+    one, other = UncompletedDigests(1, 10, 1.0), UncompletedDigests(2, 10, 1.0)
+    assert one.digest(0, 0, 0.5, b"x") != other.digest(0, 0, 0.5, b"x")
 
 
-def test_an_hour_of_events_stays_within_the_bound_of_memory() -> None:
+def test_memory_stays_within_its_bound_over_an_hour_of_events() -> None:
     import tracemalloc
 
-    chance = random.Random(6)
+    rng = random.Random(6)
     repeats = Repeats([DEADLINE, DEADLINE], 1, Bounds(), 0.0)
     tracemalloc.start()
     now = 0.0
     for i in range(36_000):
         now += 100.0
         body = b"%d" % i
-        repeats.arrived(
-            i % 2, 0, 0.5, body, chance.randrange(100_000), chance.uniform(10.0, 2400.0), now, now
-        )
+        repeats.arrived(i % 2, 0, 0.5, body, rng.randrange(100_000), rng.uniform(10.0, 2400.0), now, now)
         repeats.answered(i % 2, 0, 0.5, body, i % 100_000, i % 3 == 0, 100.0, 3.0, now + 1.0)
         repeats.tide(now)
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    fixed = repeats.given.bytes + sum(p.bins.itemsize * len(p.bins) for p in repeats.patience)
-    assert len(repeats.heeding.told) <= Bounds().callers
+    fixed = repeats.uncompleted.size_bytes + sum(p.bins.itemsize * len(p.bins) for p in repeats.histograms)
+    assert len(repeats.compliance.callers) <= Bounds().callers
     assert peak + fixed < 2_000_000
 
 
-def test_a_clock_that_steps_back_neither_ends_nor_begins_a_storm() -> None:
-    days = Days()
-    days.calm()
-    days.storm()
-    days.now -= 60_000.0
-    assert days.repeats.tide(days.now).storm
-    days.first(1000.0)
-    assert days.repeats.tide(days.now + 100.0).storm
+def test_a_clock_that_steps_back_does_not_end_a_storm() -> None:
+    traffic = Traffic()
+    traffic.first_tries()
+    traffic.storm()
+    traffic.now -= 60_000.0
+    assert traffic.repeats.tide(traffic.now).storm
+    traffic.arrive(1000.0)
+    assert traffic.repeats.tide(traffic.now + 100.0).storm
 
 
-def told(heeding: Heeding, caller: int, now: float, wait: float = 300.0) -> None:
-    heeding.arrived(caller, now, now)
-    heeding.answered(caller, wait, None, now)
+def advise_to_stay_away(tracker: ComplianceTracker, caller: int, now: float, wait: float = 300.0) -> None:
+    tracker.record_arrival(caller, now, now)
+    tracker.record_answer(caller, wait, None, now)
 
 
-def test_a_caller_that_comes_while_it_was_to_stay_away_counts_as_deaf_and_is_forgiven() -> None:
-    heeding = Heeding(10, news=60.0, deaf_from=2.0, half=8000.0)
+def test_a_caller_that_comes_while_it_should_stay_away_is_noncompliant_for_a_while() -> None:
+    tracker = ComplianceTracker(10, answer_delay_ms=60.0, threshold=2.0, half_life_ms=8000.0)
     for at in range(3):
-        told(heeding, 1, at * 1000.0)
-        deaf = heeding.arrived(1, at * 1000.0 + 150.0, at * 1000.0 + 160.0)
-    assert deaf
-    assert not heeding.arrived(1, 40_000.0, 40_000.0)
+        advise_to_stay_away(tracker, 1, at * 1000.0)
+        noncompliant = tracker.record_arrival(1, at * 1000.0 + 150.0, at * 1000.0 + 160.0)
+    assert noncompliant
+    assert not tracker.record_arrival(1, 40_000.0, 40_000.0)
 
 
-def test_news_under_way_and_times_that_are_over_are_no_breach() -> None:
-    heeding = Heeding(10, news=60.0, deaf_from=2.0, half=8000.0)
+def test_arrivals_before_the_advice_was_received_or_after_it_expired_are_no_breach() -> None:
+    tracker = ComplianceTracker(10, answer_delay_ms=60.0, threshold=2.0, half_life_ms=8000.0)
     for at in range(20):
-        told(heeding, 1, at * 1000.0)
-        assert not heeding.arrived(1, at * 1000.0 + 40.0, at * 1000.0 + 400.0), "it was sent before it heard"
-        assert not heeding.arrived(1, at * 1000.0 + 320.0, at * 1000.0 + 330.0)
-        heeding.left(1, at * 1000.0 + 340.0)
-        heeding.left(1, at * 1000.0 + 340.0)
+        advise_to_stay_away(tracker, 1, at * 1000.0)
+        assert not tracker.record_arrival(1, at * 1000.0 + 40.0, at * 1000.0 + 400.0), (
+            "sent before the advice was received"
+        )
+        assert not tracker.record_arrival(1, at * 1000.0 + 320.0, at * 1000.0 + 330.0)
+        tracker.record_abandonment(1, at * 1000.0 + 340.0)
+        tracker.record_abandonment(1, at * 1000.0 + 340.0)
 
 
-def test_a_caller_whose_quick_repeats_go_on_counts_as_deaf() -> None:
-    days = Days()
-    days.calm()
+def test_a_caller_that_keeps_retrying_quickly_is_noncompliant() -> None:
+    traffic = Traffic()
+    traffic.first_tries()
     for _ in range(10):
-        deaf = days.first(days.chance.uniform(1600.0, 2400.0), caller=5).deaf
-    assert deaf
-    assert not days.first(1000.0, caller=1).deaf
+        noncompliant = traffic.arrive(traffic.rng.uniform(1600.0, 2400.0), caller=5).noncompliant
+    assert noncompliant
+    assert not traffic.arrive(1000.0, caller=1).noncompliant
 
 
-def test_a_caller_that_waited_in_vain_and_asks_once_more_is_not_deaf() -> None:
-    days = Days()
-    days.calm()
+def test_a_caller_that_retries_after_a_timeout_is_compliant() -> None:
+    traffic = Traffic()
+    traffic.first_tries()
     for _ in range(20):
-        days.first(1000.0, caller=5)
-        view = days.first(DEADLINE - 1003.0, caller=5)
-    assert view.likely >= 0.9
-    assert not view.deaf
+        traffic.arrive(1000.0, caller=5)
+        estimate = traffic.arrive(DEADLINE - 1003.0, caller=5)
+    assert estimate.retry_probability >= 0.9
+    assert not estimate.noncompliant
 
 
-def test_callers_are_told_apart_up_to_a_bound() -> None:
-    heeding = Heeding(100, news=60.0, deaf_from=2.0, half=8000.0)
+def test_the_number_of_recorded_callers_is_bounded() -> None:
+    tracker = ComplianceTracker(100, answer_delay_ms=60.0, threshold=2.0, half_life_ms=8000.0)
     for caller in range(1000):
-        told(heeding, caller, float(caller))
-    assert len(heeding.told) == 100
-    assert 999 in heeding.told and 0 not in heeding.told
+        advise_to_stay_away(tracker, caller, float(caller))
+    assert len(tracker.callers) == 100
+    assert 999 in tracker.callers and 0 not in tracker.callers
