--- a/myrtlecrank/core/actor.py
+++ b/myrtlecrank/core/actor.py
@@ -73,13 +73,13 @@
 
 
 def now_ms() -> float:
-    """Unix time in ms as of this process's start plus monotonic time: due times don't shift when the system
-    clock is set."""
+    """Unix time in ms that never steps: the system clock at import, plus monotonic time since then. Due times
+    must not shift when the system clock is set."""
     return CLOCK_OFFSET_MS + time.monotonic() * 1000.0
 
 
 class Core:
-    """The actor that owns the controller. Other actors reach it through `mailbox` alone, and read `board`."""
+    """The actor that owns the controller. Other actors send to its `mailbox` and read its `board`."""
 
     def __init__(
         self,
@@ -113,15 +113,13 @@
         self.cache = ResultCache(facts)
         self.timers: list[tuple[float, int, TimerCallback]] = []  # a heap
         self.next_number = count(1).__next__  # of commands and timers alike
-        self.resync_tag: str | None = (
-            None  # of the sample whose return ends a resynchronisation with the agent
-        )
-        self.tick_tag: str | None = None  # of the sample that the sampling tick waits for
+        # Tags of the samples whose return ends a resynchronisation with the agent, or a sampling tick.
+        self.resync_tag: str | None = None
+        self.tick_tag: str | None = None
         self.last_received_command = 0  # number of the last command that the agent has certainly received
         self.entries_with_conflicts: dict[ExchangeEntry, None] = {}
-        self.entries_in_doubt: dict[
-            ExchangeEntry, None
-        ] = {}  # their start commands were or may have been lost
+        # Running entries whose start commands were not sent, or may have been lost.
+        self.entries_in_doubt: dict[ExchangeEntry, None] = {}
         self.alarm = ("", 0.0)  # the name and delay that the controller asked for last
         self.alarm_due = 0.0
         self.drain_requested_at = 0.0
@@ -187,7 +185,7 @@
                 for exchange_id in exchange_ids:
                     entry = self.entries_by_id.get(exchange_id)
                     if entry is not None and entry.running:
-                        # Parted may follow only now, and must not turn this into an unknown outcome.
+                        # The disconnection may be reported only now; it must not put the outcome in doubt.
                         entry.lost_start_outcome = Outcome.UNREACHED
                         entry.start_number = 0
                         self.entries_in_doubt[entry] = None
@@ -236,7 +234,8 @@
                 entry.resume_number = 0
 
     def _settle_entries_in_doubt(self) -> None:
-        """Sends again, after a reconnection, the commands that were lost and that may safely be repeated."""
+        """After a reconnection, ends cancelled executions that were never started, and sends again the lost
+        commands that may safely be repeated."""
         for entry in list(self.entries_by_id.values()):
             never_sent = entry.lost_start_outcome is Outcome.UNREACHED
             repeatable = self.facts.groups[entry.request.group].kind is Kind.REPEATABLE
@@ -438,9 +437,9 @@
             conflicting_requests, entry.conflicting_requests = entry.conflicting_requests, []
             self.entries_with_conflicts.pop(entry, None)
             for request in conflicting_requests:
-                self._add_timer(self.now, partial(self._retry_conflict, request))
+                self._add_timer(self.now, partial(self._readmit, request))
 
-    def _retry_conflict(self, request: Ticket) -> None:
+    def _readmit(self, request: Ticket) -> None:
         """Admits a request once the entry it conflicted with is gone and was not genuine, or never ran."""
         self.unanswered -= 1
         self._exchange_arrived(request)
@@ -467,7 +466,7 @@
             case interface.Publish(value):
                 self.board.value = value
             case interface.Health(healthy, _):
-                # The agent may connect for the first time during a drain, which ends in a stop anyway.
+                # During a drain the backend stays unhealthy, even if the agent connects only then.
                 healthy = healthy and self.stop_at is None
                 if healthy != self.board.well:
                     logger.info("health is {}", "good" if healthy else "bad")
--- a/myrtlecrank/retries/exchange_marks.py
+++ b/myrtlecrank/retries/exchange_marks.py
@@ -32,7 +32,7 @@
     credit: float | None,
     now: float,
 ) -> None:
-    """Records an answer, if there is an estimator. See Repeats.answered."""
+    """Records an answer, if there is an estimator. The arguments are those of its own method."""
     if estimator is not None:
         estimator.answered(
             exchange.group,
--- a/myrtlecrank/retries/options.py
+++ b/myrtlecrank/retries/options.py
@@ -25,17 +25,17 @@
     deaf_half_ms: float = figure(8000.0, 100.0, 600_000.0, "time in which these count half")
 
 
-def contradictions(bounds: Bounds) -> list[str]:
+def contradictions(options: Bounds) -> list[str]:
     """Returns a line for each combination of options that makes no sense, though each alone is allowed."""
     problems = []
-    if bounds.storm_until >= bounds.storm_from:
+    if options.storm_until >= options.storm_from:
         problems.append(
-            f"storm_until: is {bounds.storm_until:g}, not below storm_from {bounds.storm_from:g}: "
+            f"storm_until: is {options.storm_until:g}, not below storm_from {options.storm_from:g}: "
             "a storm would begin and end on the same share"
         )
-    if bounds.least_arrivals > 4 * bounds.digests:
+    if options.least_arrivals > 4 * options.digests:
         problems.append(
-            f"least_arrivals: is {bounds.least_arrivals}, over four times digests {bounds.digests}: "
+            f"least_arrivals: is {options.least_arrivals}, over four times digests {options.digests}: "
             "what arrived would be forgotten before anything is estimated"
         )
     return problems
