--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -282,7 +282,7 @@
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
     assert play.commands(Deliver) == [Deliver("aa", b"result")]
     play.turn(60.0, RunEnded("aa", Outcome.OK, 60.0, b"done"))
-    assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.table
+    assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.entries_by_id
     assert play.core.controller and play.core.controller.calls == 0
 
 
@@ -363,7 +363,7 @@
             break
     assert now < 4000 and play.asked[-1] == Abandon("aa")
     play.turn(4010.0, CallEnded("aa", Outcome.OK, b"late"), RunEnded("aa", Outcome.CANCELLED, 4000.0, b""))
-    assert not play.commands(Deliver) and not play.core.table and len(play.answers) == 1
+    assert not play.commands(Deliver) and not play.core.entries_by_id and len(play.answers) == 1
 
 
 def test_pending_calls_are_ended_before_the_stop() -> None:
@@ -382,7 +382,7 @@
     play.turn(2.0, CallersLeft([ticket]))
     play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
     play.turn(60.0, RunEnded("aa", Outcome.CANCELLED, 60.0, b""))
-    assert not play.core.table and not play.answers
+    assert not play.core.entries_by_id and not play.answers
     assert play.core.controller and not play.core.controller.running
 
 
@@ -409,7 +409,7 @@
         play.turn(2.0, CallersLeft([ticket]))
     play.turn(3.0, RunEnded("aa", outcome, 3.0, b"r"))
     play.turn(4.0, CallEnded("aa", Outcome.OK, b"late"))
-    assert "aa" not in play.core.table and not controller.parked
+    assert "aa" not in play.core.entries_by_id and not controller.parked
     assert [one for one in play.asked if isinstance(one, Call)][made:] == []
     assert len(play.answers) == (not left)
     if place == "parked":
@@ -425,7 +425,7 @@
     play.turn(70.0, Greeted(True, 5.0, anew=True))
     play.turn(900.0, CallEnded("aa", Outcome.OK, b"late"))
     assert [a.ticket.ident for a in play.answers] == ["aa"] and play.asked[-1] == Abandon("aa")
-    assert not play.core.table and play.core.controller and play.core.controller.calls == 0
+    assert not play.core.entries_by_id and play.core.controller and play.core.controller.calls == 0
 
 
 def test_unexpected_call_does_not_end_the_exchange() -> None:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -386,7 +386,7 @@
 
 def test_frame_delayed_by_a_full_mailbox_is_not_timed_out(harness: ServerHarness) -> None:
     connection, sock = harness.open()
-    harness.core.mailbox.bound = 0
+    harness.core.mailbox.capacity = 0
     sock.sendall(ask_bytes(1) + ask_bytes(2)[:20])
     gevent.sleep(0.02)
     harness.run_sweeps(5000.0)
