--- a/myrtlecrank/policy/__init__.py
+++ b/myrtlecrank/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of admission, order and denial: free of I/O and clocks."""
+"""The decisions on admission, queueing, cancellation and denial; free of I/O and clocks."""
--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -1,680 +1,890 @@
-"""All decisions of a backend. The host builds a Controller from StartFacts, calls it for every event with the
-time now (ms), and calls settle() once after the events of one moment. Operations go out through `do`.
-The interface, with every type named here, is policy/interface.py; docs/design.md explains the decisions."""
+"""All decisions of a backend: admission, queueing, cancellation, calls, denials and the published value.
+
+The host builds a Controller from StartFacts, calls its methods for every event with the time now (ms), and
+calls settle() once after the events of one moment. Operations go out through `perform`. The types of the
+interface are in policy/interface.py; docs/design.md explains the decisions.
+"""
 
 from __future__ import annotations
 
 import random
 from collections import deque
 from collections.abc import Generator
-from enum import Enum
 from heapq import heappop, heappush
 from itertools import count
-from math import exp, log
+from math import exp
 from typing import Any
 
 from myrtlecrank.policy import interface
+from myrtlecrank.policy.endpoint_group import EndpointGroupState
+from myrtlecrank.policy.exchange_state import CALL_PHASES, ExchangeState, Flow, Phase, ResumeReason, WaitPoint
 from myrtlecrank.policy.interface import Below, Exchange, Halting, Kind, Meaning, Outcome
 
-BEAT = 100.0  # between samples
-CPU_SPAN = 20  # samples in the rolling CPU gauge (2 s)
-DURESS_CPU, REFUSE_CPU, REFUSE_MEMORY = 0.90, 0.95, 0.85
-DURESS_SAMPLES = 3
-OUTLIER = 2.0  # how many times the mean a running exchange must exceed to be cancelled
-MEMORY_USED, CROWD_USED = 0.92, 0.85  # parts of what a backend survives that decisions use
-CALLS_PER_CORE = 3  # calls in hand with a tier below
-SPARE, SPARE_LEAST, SPARE_MOST, SPARE_STEP, SPARE_BEATS = 0.7, 0.3, 1.5, 0.3, 30  # wanted beyond one a core
-RATE_MS, RATE_EVENTS = 3000.0, 6.0  # over which a tenant's rate is measured: longer where few may come
-HOLD_LEAST, HOLD_READING, HOLD_CALM = 0.5, 3.0, 1.6  # longest wait in the hold, per SLO time, times cores
-HOLD_MOST = 0.8  # per SLO time, on any number of cores
-# In a storm: ms from a denial to the next try, least work a run counts as, value of the late, least credit
-AGAIN_MS, LEAST_WORK, LATE_VALUE, STORM_CREDIT = 20.0, 0.3, 0.05, 0.5
-STRAIN = 0.15  # wait per SLO time at which the published value neither rises nor falls
-PUBLISH_BEATS = 3
-WAIT_HEEDED = 0.3  # longest advised wait, of the time that callers remember the published value
-SLOW, SICK, SICK_MS = 3.5, 5.0, 5000.0  # times the usual run; ends owed; how long it stays away
-LINKS_PER_CORE = 8.0  # idle connections kept open
-LEAST_WEIGHT, LEAST_CREDIT = 0.45, 1.0  # the published value does not fall below these
 NEVER = float("inf")
-
-
-Place = Enum("Place", "HELD RUNNING AT_CALL CALLING JOINED OVER")
-CALLS = (Place.AT_CALL, Place.CALLING)
-# What an exchange waits for without asking for an operation
-Pause = Enum("Pause", "HOLD CALL_ROOM END")
-
-
-class Word(Enum):
-    """What resumes an exchange, beside the outcomes of runs and calls."""
-
-    TURN = 0
-    AT_CALL = 1
-    CUT = 2  # the highest score under duress
-    LATE = 3  # its time is up, or an answer could no longer be of use
-    SHED = 4  # turned away for another, or for want of memory
-    STOP = 5  # the process is about to be stopped
-    ENDED = 6  # its run was stopped by none of ours, while it stood at a call
-
-
-AWAITED = (interface.Start, interface.Call, interface.Skip, interface.Join)
+LONGEST_READ_DELAY_MS = 1e9  # a least delay beyond this stands for a window without arrivals
+
+# Gauges and duress
+SAMPLE_INTERVAL_MS = 100.0
+CPU_WINDOW_SAMPLES = 20  # 2 s
+CONCURRENCY_SMOOTHING = 0.1  # weight of a new sample
+READ_DELAY_SMOOTHING = 0.1  # weight of a new arrival
+READ_DELAY_DECAY = 0.98  # per sample
+DURESS_CPU_FRACTION = 0.90
+DURESS_SAMPLES = 3
+REJECT_CPU_FRACTION = 0.95
+REJECT_MEMORY_FRACTION = 0.85
+OUTLIER_MULTIPLE = 2.0  # how many times the mean a running exchange must exceed to be cancelled
+OUTLIER_TIMEOUT_FRACTION = 0.5  # only exchanges older than this part of their timeout are cancelled
+
+# How much runs at once
+USABLE_MEMORY_FRACTION = 0.92
+USABLE_CONCURRENCY_FRACTION = 0.85  # of the concurrency beyond one a core that a backend survives
+RUN_LIMIT_STEP = 0.1  # per sample
+RUN_LIMIT_SLACK = 0.5  # concurrency beyond the wanted one at which the limit falls
+INITIAL_EXTRA_CONCURRENCY = 0.7  # wanted on the cores beyond one run a core
+MIN_EXTRA_CONCURRENCY = 0.3
+MAX_EXTRA_CONCURRENCY = 1.5
+EXTRA_CONCURRENCY_STEP = 0.3
+EXTRA_CONCURRENCY_SAMPLES = 30  # samples between two steps
+BACKLOGGED_SAMPLES_FRACTION = 0.7  # the work is compared only where so many samples found a queue
+
+# Calls to the dependency
+CALLS_PER_CORE = 3  # calls in flight where the dependency is a tier of backends like this one
+CALL_TRIES = 3
+MIN_CALL_TIMEOUT_MS = 1.0
+
+# Rates of tenants
+TENANT_RATE_WINDOW_MS = 3000.0
+TENANT_RATE_EVENTS = 6.0  # the window is longer where it would cover fewer arrivals than this
+
+# Longest wait in the queue, as a multiple of the SLO time, times the cores
+MIN_QUEUE_WAIT = 0.5
+QUEUE_WAIT_FOR_READING = 3.0  # more for each mean run time that reading an arrival takes
+MAX_READING_OF_RUN = 0.5
+CALM_QUEUE_WAIT_MULTIPLE = 1.6  # while the CPU is not saturated
+MAX_QUEUE_WAIT = 0.8  # as a multiple of the SLO time, on any number of cores
+LATEST_START_RUN_FRACTION = 0.7  # a run this part of the expected run before the deadline is still of use
+DISPLACEMENT_FRACTION = 0.8  # a queued exchange is displaced where its value is below this part
+
+# Retry storm
+RETRY_AFTER_DENIAL_MS = 20.0  # from a denial to the next try of a caller that ignores backpressure
+MIN_NET_WORK_FRACTION = 0.3  # least work that a run counts as
+LATE_VALUE_FRACTION = 0.05
+STORM_CREDIT_MULTIPLE = 0.5  # of the least published credit
+
+# The published value
+PUBLISH_INTERVAL_SAMPLES = 3
+NEUTRAL_WAIT_OF_SLO = 0.15  # wait as a part of the SLO time at which the published value is steady
+MAX_STRAIN = 3.0
+FALL_PER_STRAIN = 0.15
+RECOVERY_PER_STRAIN = 0.12
+PUBLISH_CHANGE_FRACTION = 0.04  # smaller changes are not published
+CREDIT_PER_CORE = 2.0
+CREDIT_HEADROOM = 2.0  # published credit beyond the exchanges in progress
+MIN_WEIGHT = 0.45
+MIN_CREDIT = 1.0
+MIN_OPENNESS = 0.05  # for the other kinds of published value
+RETRY_AFTER_OF_LIFETIME = 0.3  # longest spread wait, of the time that callers remember the published value
+
+# Health
+SLOW_RUN_MULTIPLE = 3.5  # times the mean run at which runs count as hanging
+MAX_OWED_RUNS = 5.0  # runs that should have ended
+MAX_TRACKED_OWED_MULTIPLE = 1.5
+OWED_AFTER_RECOVERY_MULTIPLE = 0.5
+HUNG_INTERVALS = 10.0  # without the end of a run
+UNHEALTHY_MS = 5000.0
+MAX_UNHEALTHY_MULTIPLE = 4.0
+HANDSHAKE_CONCURRENCY_PER_CORE = 2.5  # beyond this, handshakes of many callers fill the cores
+STALE_READ_MULTIPLE = 3.0  # times the least read delay
+SLOW_READ_MULTIPLE = 1.5
+SLOWNESS_SMOOTHING = 0.07
+MAX_SLOWNESS_SAMPLE = 10.0
+WARM_UP_RUNS = 10  # the first runs to finish are the short ones
+MIN_LEARNING_RATE = 0.03
+
+# Idle connections
+IDLE_CONNECTIONS_PER_CORE = 8.0
+IDLE_TIMEOUT_CUT = 0.7
+IDLE_TIMEOUT_GROWTH = 1.1
+
+# The flow of an exchange waits for the result of these.
+AWAITED_OPERATIONS = (interface.Start, interface.Call, interface.Skip, interface.Join)
 PROVEN_UNRUN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
-Steps = Generator[Any, Any, Any]
-
 
-class Group:
-    """An endpoint group: its line of held exchanges and what was learned of its work."""
 
-    def __init__(self, facts: interface.EndpointGroup) -> None:
-        self.kind, self.calls, self.benefit_without = facts.kind, facts.calls, facts.benefit_without
-        self.slo, self.timeout, self.stretch = facts.slo, facts.timeout, facts.slo_stretch
-        self.benefit, self.late_benefit, self.window = facts.benefit, facts.late_benefit, facts.window
-        self.line: list[Course] = []
-        self.usual, self.runs = 0.2 * facts.slo, 0  # mean time of a run while the backend is well, learned
-        # Logarithms of hints: mean, spread, how far run times follow them (0: not at all, 1: in proportion)
-        self.hint, self.hint_spread, self.hint_tells, self.log_usual = 0.0, 1.0, 0.5, 0.0
-        self.credit = 0.0  # turns carried over
-
-    def weigh_hint(self, hint: float) -> float:
-        """Expected work over the usual. Guards against rough hints: the largest are mostly overstated."""
-        if hint <= 0 or self.hint == 0.0:
-            return 1.0
-        by = self.hint_tells
-        return exp(by * (log(hint) - self.hint) - 0.5 * by * by * self.hint_spread)
-
-    def learn_hint(self, hint: float, took: float, rate: float) -> None:
-        if hint > 0:
-            if self.hint == 0.0:
-                self.hint, self.log_usual = log(hint), log(took)
-            off, long = log(hint) - self.hint, log(took) - self.log_usual
-            self.hint += rate * off
-            self.log_usual += rate * long
-            self.hint_spread += rate * (off * off - self.hint_spread)
-            follows = off * long / max(0.1, self.hint_spread)
-            self.hint_tells = min(1.0, max(0.0, self.hint_tells + 0.3 * rate * (follows - self.hint_tells)))
-
-
-class Course:
-    """One exchange on its way through this backend."""
-
-    def __init__(self, ex: Exchange, group: Group, now: float) -> None:
-        self.ex, self.group, self.place = ex, group, Place.HELD
-        left = group.timeout - ex.waited if ex.left is None else ex.left
-        self.due = now + max(0.0, left)
-        self.reached = now - ex.waited
-        self.first = self.reached - ex.age  # the SLO time counts from here
-        self.kb = ex.kb
-        self.key_until = 0.0  # while the room of its key is booked
-        self.wake = 0.0  # its entry in the due times that counts
-        self.began = self.cpu = self.below_ms = 0.0
-        self.value = 0.0
-        self.answered = False
-        self.steps: Steps | None = None
-
-    @property
-    def repeatable(self) -> bool:
-        return self.group.kind is Kind.REPEATABLE
+class Controller:
+    """The decisions of one backend.
 
+    Its public methods are the events; none of them does I/O or reads a clock.
+    """
 
-class Controller:
-    def __init__(self, facts: interface.StartFacts, do: interface.Do, now: float) -> None:
-        self.do, self.now = do, now
-        self.chance = random.Random(facts.seed).random
-        self.groups = [Group(g) for g in facts.groups]
-        self.shortest_slo = min(g.slo for g in self.groups)
-        self.shares = [t.per_second / 1000.0 / max(1, facts.backends) for t in facts.tenants]
-        self.rates = [0.0] * len(facts.tenants)
-        self.spans = [max(RATE_MS, RATE_EVENTS / max(1e-6, s)) for s in self.shares]
-        self.over_benefit, self.by_work = facts.over_share_benefit, facts.benefit_by_work
-        self.cores, self.memory_kb, self.run_weight = facts.cores, facts.memory_kb, facts.run_weight
-        self.key_kb, self.share_for, self.grace = facts.key_kb, facts.share_for, facts.drain_grace
-        self.crowd_warm = 1.0 + (facts.crowd_per_core - 1.0) * CROWD_USED
-        self.coldest, self.warm_within = facts.cold_from, facts.warm_within
+    def __init__(self, facts: interface.StartFacts, perform: interface.Do, now: float) -> None:
+        self.perform = perform
+        self.now = now
+        self.random_fraction = random.Random(facts.seed).random
+        self.groups = [EndpointGroupState(group) for group in facts.groups]
+        self.shortest_slo = min(group.slo for group in self.groups)
+
+        # What this backend should get of each tenant (per ms), and what it gets
+        self.tenant_shares = [tenant.per_second / 1000.0 / max(1, facts.backends) for tenant in facts.tenants]
+        self.tenant_rates = [0.0] * len(facts.tenants)
+        self.tenant_windows_ms = [
+            max(TENANT_RATE_WINDOW_MS, TENANT_RATE_EVENTS / max(1e-6, share)) for share in self.tenant_shares
+        ]
+        self.over_share_benefit = facts.over_share_benefit
+        self.benefit_by_work = facts.benefit_by_work
+
+        # What the backend has and survives
+        self.cores = facts.cores
+        self.memory_kb = facts.memory_kb
+        self.run_weight = facts.run_weight
+        self.key_kb = facts.key_kb
+        self.share_for = facts.share_for
+        self.drain_grace = facts.drain_grace
+        self.warm_concurrency_per_core = 1.0 + (facts.crowd_per_core - 1.0) * USABLE_CONCURRENCY_FRACTION
+        self.cold_warmth = facts.cold_from
+        self.warm_within = facts.warm_within
         self.machine_began(facts.cold, now)
-        self.margin = BEAT + 2.0 * facts.tick  # an answer is given this long before it is due
-        self.can_halt = facts.halting is not Halting.NONE
-        self.meaning, self.wait_limit = facts.meaning, facts.wait_limit
+        self.answer_margin_ms = SAMPLE_INTERVAL_MS + 2.0 * facts.tick  # answers go out this long before due
+        self.can_cancel = facts.halting is not Halting.NONE
+
+        # Advice to callers
+        self.meaning = facts.meaning
+        self.max_retry_after_ms = facts.wait_limit
         # Callers kept away longer forget the published value, and the first to come back bring a burst.
-        self.wait_spread = min(facts.wait_limit, WAIT_HEEDED * facts.heeded)
-        self.calls_at_most = 0.0
+        self.max_spread_retry_after_ms = min(facts.wait_limit, RETRY_AFTER_OF_LIFETIME * facts.heeded)
+
+        # Calls to the dependency
+        self.max_calls = 0.0
         if facts.below is Below.SHARED:
-            self.calls_at_most = facts.calls_share
+            self.max_calls = facts.calls_share
         elif facts.below is Below.TIER:
-            self.calls_at_most = float(CALLS_PER_CORE * facts.cores)
-        self.calls_over, self.call_lingers = max(1.0, facts.calls_over), facts.call_lingers
-        self.calls, self.calls_mean, self.calls_seen = 0, 0.0, now
-        self.parked: deque[Course] = deque()  # waiting for room at the dependency
-        self.running: dict[Course, None] = {}
-        self.joined: dict[Course, None] = {}
-        self.held = self.peak = 0  # the most in hand since the value was last published
+            self.max_calls = float(CALLS_PER_CORE * facts.cores)
+        self.calls_window_ms = max(1.0, facts.calls_over)
+        self.abandoned_call_ms = (
+            facts.call_lingers
+        )  # how long a call still counts after its timeout or its run
+        self.calls_in_flight = 0
+        self.mean_calls_in_flight = 0.0
+        self.calls_averaged_at = now
+        self.waiting_for_call: deque[ExchangeState] = deque()
+
+        # Exchanges in progress
+        self.running: dict[ExchangeState, None] = {}
+        self.waiting_for_original: dict[ExchangeState, None] = {}
+        self.queued_count = 0
+        self.peak_in_progress = 0  # since the value was last published
         self.used_kb = 0.0
-        self.dues: list[tuple[float, int, Any]] = []
-        self.order = count().__next__
-        self.limit, self.spare, self.spare_step = float(self.cores), SPARE, SPARE_STEP
-        self.done, self.done_before, self.busy_beats = 0.0, 0.0, 0
-        self.cpu_samples: deque[float] = deque(maxlen=CPU_SPAN)
-        self.on_cores = self.memory_gauge = self.unread = self.owed = 0.0
-        self.storm = False
-        self.pressed_samples = self.beats = self.ended = self.ends = 0
-        self.clogged, self.useless, self.starts, self.sick_ms = False, False, 0, SICK_MS
-        self.slowness, self.sick_until, self.last_end, self.reading, self.waits = 1.0, 0.0, now, NEVER, NEVER
-        self.stop_at = self.until = NEVER  # after the notice to leave; from `until` on no arrival runs
-        top = {Meaning.CREDIT: 2.0 * self.cores, Meaning.WEIGHT: 1.0, Meaning.LEVEL: 1.0}
-        self.open_to, self.said = top.get(self.meaning, 0.0), -1.0
-        self.open_at_most = self.open_to
-        # Callers that hear too little forget what was said and come all at once: never close quite.
-        least = {Meaning.CREDIT: LEAST_CREDIT, Meaning.WEIGHT: LEAST_WEIGHT}
-        self.open_at_least = least.get(self.meaning, 0.05)
-        self.idle = self.idle_most = facts.idle
-        self.do(interface.Health(True, True))
-        self.do(interface.Alarm("beat", BEAT))
+        # An exchange is woken; an int changes the number of calls in flight; a float is memory that is freed.
+        self.timers: list[tuple[float, int, ExchangeState | int | float]] = []
+        self.next_timer_number = count().__next__
+
+        # How much runs at once
+        self.run_limit = float(self.cores)
+        self.extra_concurrency = INITIAL_EXTRA_CONCURRENCY
+        self.extra_concurrency_step = EXTRA_CONCURRENCY_STEP
+        self.finished_work_ms = 0.0
+        self.previous_finished_work_ms = 0.0
+        self.backlogged_samples = 0
+
+        # Gauges
+        self.samples = 0
+        self.cpu_samples: deque[float] = deque(maxlen=CPU_WINDOW_SAMPLES)
+        self.mean_on_cores = 0.0
+        self.memory_gauge = 0.0
+        self.mean_read_delay_ms = 0.0  # beyond the least one
+        self.least_read_delay_ms = NEVER
+        self.window_least_read_delay_ms = NEVER
+        self.is_retry_storm = False
+        self.duress_samples = 0
+
+        # Health
+        self.owed_runs = 0.0
+        self.ended_since_sample = 0
+        self.ended_since_unhealthy = 0
+        self.last_end_at = now
+        self.slowness = 1.0  # of runs, as a multiple of the learned mean
+        self.reads_only_stale = False
+        self.starts_nothing = False
+        self.starts_in_window = 0
+        self.unhealthy_until = 0.0  # 0: healthy
+        self.next_unhealthy_ms = UNHEALTHY_MS
+
+        # Drain
+        self.stop_at = NEVER
+        self.drain_ends_at = NEVER  # from then on no arrival runs
+
+        # The published value: high openness asks for more traffic, whatever the value's meaning.
+        max_openness = {Meaning.CREDIT: CREDIT_PER_CORE * self.cores, Meaning.WEIGHT: 1.0, Meaning.LEVEL: 1.0}
+        self.openness = max_openness.get(self.meaning, 0.0)
+        self.max_openness = self.openness
+        # Callers that hear too little forget the value and come all at once, so it never falls to nothing.
+        min_openness = {Meaning.CREDIT: MIN_CREDIT, Meaning.WEIGHT: MIN_WEIGHT}
+        self.min_openness = min_openness.get(self.meaning, MIN_OPENNESS)
+        self.published_value = -1.0
+
+        self.idle_timeout_ms = facts.idle
+        self.max_idle_timeout_ms = facts.idle
+
+        self.perform(interface.Health(True, True))
+        self.perform(interface.Alarm("beat", SAMPLE_INTERVAL_MS))
         self._publish()
 
-    # The path of an exchange
-
-    def _course(self, c: Course) -> Steps:
-        """The ordinary path, from being read to the one answer; what it must wait for resumes it."""
-        if c.ex.earlier is not None and (c.group.kind is Kind.DEDUPLICATED or self.share_for > 0):
-            return (yield from self._joined(c))
-        if self._refused(c):
-            return (yield self._denial(c))
-        if c.group.kind is Kind.DEDUPLICATED:
-            yield self._kept(c, c.group.window)
-        word = yield Pause.HOLD
-        if word is not Word.TURN:
-            if c.group.kind is Kind.DEDUPLICATED:
-                yield interface.Erase(c.ex)
-            return (yield self._denial(c))
-        if c.repeatable and self.share_for > 0 and c.ex.keyed:
-            yield self._kept(c, self.share_for + 2.0 * c.group.usual)
-        word = yield interface.Start(c.ex)
-        while word is Word.AT_CALL:
-            word = yield from self._call_below(c)
-        if isinstance(word, Outcome) and word is not Outcome.CANCELLED:
-            return  # its end was its answer
-        # Given up under pressure, a second try elsewhere is mostly lost as well; on calm backends it may do.
-        pressed = word is Word.CUT or self._cpu() > DURESS_CPU
-        yield self._denial(c) if c.repeatable and pressed else interface.Fail(c.ex)
-        if self.can_halt and c.place in (Place.RUNNING, Place.CALLING):
-            yield interface.Halt(c.ex)
-
-    def _call_below(self, c: Course) -> Generator[Any, Any, Any]:
-        """A call with the time left as its time-out; repeated only where the last one can do no harm."""
-        for _ in range(3):
-            word = yield Pause.CALL_ROOM
-            if word is not Word.TURN:
-                return word
-            word = yield interface.Call(c.ex, max(1.0, c.due - self.margin - self.now))
-            if word is Outcome.OK:
-                return (yield Pause.END)
-            if not isinstance(word, Outcome):
-                return word
-            if not (c.repeatable or word in PROVEN_UNRUN):
+    # The flow of an exchange
+
+    def _exchange_flow(self, state: ExchangeState) -> Flow:
+        """Takes an exchange from its arrival to its one answer; what it must wait for resumes it."""
+        exchange, group = state.exchange, state.group
+        if exchange.earlier is not None and (group.kind is Kind.DEDUPLICATED or self.share_for > 0):
+            return (yield from self._original_flow(state))
+        if self._is_rejected(state):
+            return (yield self._denial(state))
+        if group.kind is Kind.DEDUPLICATED:
+            yield self._cache_result(state, group.window)
+        resumed_by = yield WaitPoint.QUEUE_TURN
+        if resumed_by is not ResumeReason.CAPACITY_FREE:
+            if group.kind is Kind.DEDUPLICATED:
+                yield interface.Erase(exchange)
+            return (yield self._denial(state))
+        if state.is_repeatable and self.share_for > 0 and exchange.keyed:
+            yield self._cache_result(state, self.share_for + 2.0 * group.mean_run_ms)
+        resumed_by = yield interface.Start(exchange)
+        while resumed_by is ResumeReason.REACHED_CALL:
+            resumed_by = yield from self._call_flow(state)
+        if isinstance(resumed_by, Outcome) and resumed_by is not Outcome.CANCELLED:
+            return  # the end of the run was the answer
+        # A run abandoned under pressure would mostly fail elsewhere as well; on calm backends a retry may do.
+        is_pressed = resumed_by is ResumeReason.DURESS or self._mean_cpu() > DURESS_CPU_FRACTION
+        yield self._denial(state) if state.is_repeatable and is_pressed else interface.Fail(exchange)
+        if self.can_cancel and state.phase in (Phase.RUNNING, Phase.CALLING):
+            yield interface.Halt(exchange)
+
+    def _call_flow(self, state: ExchangeState) -> Generator[Any, Any, Any]:
+        """Makes a call with the remaining time as its timeout; retries only where that can do no harm."""
+        for _ in range(CALL_TRIES):
+            resumed_by = yield WaitPoint.CALL_CAPACITY
+            if resumed_by is not ResumeReason.CAPACITY_FREE:
+                return resumed_by
+            remaining_ms = state.deadline - self.answer_margin_ms - self.now
+            resumed_by = yield interface.Call(state.exchange, max(MIN_CALL_TIMEOUT_MS, remaining_ms))
+            if resumed_by is Outcome.OK:
+                return (yield WaitPoint.RUN_END)
+            if not isinstance(resumed_by, Outcome):
+                return resumed_by
+            if not (state.is_repeatable or resumed_by in PROVEN_UNRUN):
                 break
-        if c.group.benefit_without > 0:
-            return (yield interface.Skip(c.ex))
-        return Word.LATE
-
-    def _joined(self, c: Course) -> Steps:
-        """A repeat takes the outcome of what it repeats: no second effect, and a read costs a twentieth."""
-        word = yield interface.Join(c.ex)
-        if not isinstance(word, Outcome):
-            yield interface.Fail(c.ex)  # never a denial: what it repeats may have run
-
-    def _step(self, c: Course, word: object) -> None:
-        """Resumes an exchange and carries out what it asks for, up to what it must wait for."""
-        while c.steps is not None:
+        if state.group.benefit_without > 0:
+            return (yield interface.Skip(state.exchange))
+        return ResumeReason.TOO_LATE
+
+    def _original_flow(self, state: ExchangeState) -> Flow:
+        """Gives a retry the outcome of the exchange that it retries.
+
+        So there is no second effect, and a read costs a twentieth of a run.
+        """
+        resumed_by = yield interface.Join(state.exchange)
+        if not isinstance(resumed_by, Outcome):
+            yield interface.Fail(state.exchange)  # not a denial: the original may have run
+
+    def _advance(self, state: ExchangeState, resumed_by: object) -> None:
+        """Resumes the flow of an exchange and carries out what it asks for, up to what it must wait for."""
+        while state.flow is not None:
             try:
-                want = c.steps.send(word)
+                request = state.flow.send(resumed_by)
             except StopIteration:
-                c.steps = None
+                state.flow = None
                 return
-            word = None
-            if isinstance(want, Pause):
-                if want is Pause.HOLD:
-                    self._hold(c)
-                elif want is Pause.CALL_ROOM:
-                    c.place = Place.AT_CALL
-                    self.parked.append(c)
+            resumed_by = None
+            if isinstance(request, WaitPoint):
+                if request is WaitPoint.QUEUE_TURN:
+                    self._enqueue(state)
+                elif request is WaitPoint.CALL_CAPACITY:
+                    state.phase = Phase.WAITING_FOR_CALL
+                    self.waiting_for_call.append(state)
                 return
-            self._account(c, want)
-            self.do(want)
-            if isinstance(want, AWAITED):
+            self._record(state, request)
+            self.perform(request)
+            if isinstance(request, AWAITED_OPERATIONS):
                 return
 
-    def _account(self, c: Course, want: interface.Operation) -> None:
-        if isinstance(want, interface.Deny | interface.Fail):
-            c.answered = True
-            if c.place in (Place.HELD, Place.JOINED):
-                self._over(c)
-        elif isinstance(want, interface.Erase):
-            self._unkept(c)
-        elif isinstance(want, interface.Start):
-            c.place, c.began = Place.RUNNING, self.now
-            self.running[c] = None
-            self.starts += 1
-            self._weigh(c, c.ex.kb * self.run_weight)
-            self._wake(c, c.due - self.margin)
-        elif isinstance(want, interface.Join):
-            c.place = Place.JOINED
-            self.joined[c] = None
-            self._wake(c, c.due - self.margin)
-        elif isinstance(want, interface.Call):
-            c.place = Place.CALLING
+    def _record(self, state: ExchangeState, operation: interface.Operation) -> None:
+        """Updates the state of an exchange for an operation that is about to be carried out."""
+        if isinstance(operation, interface.Deny | interface.Fail):
+            state.is_answered = True
+            if state.phase in (Phase.QUEUED, Phase.WAITING_FOR_ORIGINAL):
+                self._close(state)
+        elif isinstance(operation, interface.Erase):
+            self._release_key(state)
+        elif isinstance(operation, interface.Start):
+            state.phase = Phase.RUNNING
+            state.started_at = self.now
+            self.running[state] = None
+            self.starts_in_window += 1
+            self._set_memory(state, state.exchange.kb * self.run_weight)
+            self._wake_at(state, state.deadline - self.answer_margin_ms)
+        elif isinstance(operation, interface.Join):
+            state.phase = Phase.WAITING_FOR_ORIGINAL
+            self.waiting_for_original[state] = None
+            self._wake_at(state, state.deadline - self.answer_margin_ms)
+        elif isinstance(operation, interface.Call):
+            state.phase = Phase.CALLING
             self._count_calls(1)
-        elif isinstance(want, interface.Skip):
-            c.place = Place.RUNNING
-
-    def _leave_call(self, c: Course) -> None:
-        if c.place is Place.CALLING:
-            self._push(self.now + self.call_lingers, -1)
-        elif c in self.parked:
-            self.parked.remove(c)
-
-    def _over(self, c: Course) -> None:
-        if c.place in CALLS:
-            self._leave_call(c)
-        self.running.pop(c, None)
-        self.joined.pop(c, None)
-        self._weigh(c, 0.0)
-        c.place, c.wake = Place.OVER, 0.0
-
-    def _weigh(self, c: Course, kb: float) -> None:
-        self.used_kb += kb - c.kb
-        c.kb = kb
-
-    def _kept(self, c: Course, span: float) -> interface.Retain:
+        elif isinstance(operation, interface.Skip):
+            state.phase = Phase.RUNNING
+
+    def _leave_call(self, state: ExchangeState) -> None:
+        if state.phase is Phase.CALLING:
+            self._add_timer(self.now + self.abandoned_call_ms, -1)
+        elif state in self.waiting_for_call:
+            self.waiting_for_call.remove(state)
+
+    def _close(self, state: ExchangeState) -> None:
+        if state.phase in CALL_PHASES:
+            self._leave_call(state)
+        self.running.pop(state, None)
+        self.waiting_for_original.pop(state, None)
+        self._set_memory(state, 0.0)
+        state.phase = Phase.CLOSED
+        state.wake_at = 0.0
+
+    def _set_memory(self, state: ExchangeState, kb: float) -> None:
+        self.used_kb += kb - state.memory_kb
+        state.memory_kb = kb
+
+    def _cache_result(self, state: ExchangeState, duration_ms: float) -> interface.Retain:
         self.used_kb += self.key_kb
-        c.key_until = self.now + span
-        self._push(c.key_until, self.key_kb)
-        return interface.Retain(c.ex, span)
+        state.key_reserved_until = self.now + duration_ms
+        self._add_timer(state.key_reserved_until, self.key_kb)
+        return interface.Retain(state.exchange, duration_ms)
+
+    def _release_key(self, state: ExchangeState) -> None:
+        """Frees the memory of a key at once, as an exchange that never ran leaves no result.
 
-    def _unkept(self, c: Course) -> None:
-        """What never ran has no key: its room is free at once, and is not given back again in its time."""
-        if c.key_until > self.now:
+        A second timer takes back what the first one will free.
+        """
+        if state.key_reserved_until > self.now:
             self.used_kb -= self.key_kb
-            self._push(c.key_until, -self.key_kb)
-            c.key_until = 0.0
-
-    def _denial(self, c: Course) -> interface.Deny:
-        """What callers should do instead of asking at once again. The hold bridges passing noise: where it
-        is full, others likely are too, and a walk from one to the next costs each a reading. So nothing
-        elsewhere, unless this one is sick. The wait is spread, lest all who heard come back at once."""
-        if self.until < NEVER:
-            return interface.Deny(c.ex, False, self.wait_limit)
-        alone = self.sick_until > 0.0  # others are likely to be better off
-        wait = self.wait_limit if alone else self.chance() * min(self.wait_spread, self._wait() + self.unread)
-        return interface.Deny(c.ex, not alone, wait)
+            self._add_timer(state.key_reserved_until, -self.key_kb)
+            state.key_reserved_until = 0.0
+
+    def _denial(self, state: ExchangeState) -> interface.Deny:
+        """Denies, with what the caller should do instead of a retry at once.
+
+        The queue absorbs short peaks: where it is full, other backends are likely full too, and each would
+        spend a read on the retry. So the caller is told not to try elsewhere, unless this backend is
+        unhealthy. The wait is random, lest all that are denied come back at once.
+        """
+        if self.drain_ends_at < NEVER:
+            return interface.Deny(state.exchange, False, self.max_retry_after_ms)
+        try_elsewhere = self.unhealthy_until > 0.0  # others are likely to be better off
+        retry_after_ms = self.max_retry_after_ms
+        if not try_elsewhere:
+            wait_ms = self._queue_wait_ms() + self.mean_read_delay_ms
+            retry_after_ms = self.random_fraction() * min(self.max_spread_retry_after_ms, wait_ms)
+        return interface.Deny(state.exchange, not try_elsewhere, retry_after_ms)
 
     # Arrivals: admission on the rolling gauges
 
-    def arrived(self, ex: Exchange, now: float) -> None:
+    def arrived(self, exchange: Exchange, now: float) -> None:
+        """An exchange was read; it is queued, denied or joined to the one that it retries."""
         self.now = now
-        group = self.groups[ex.group]
-        c = ex.course = Course(ex, group, now)
-        self.used_kb += ex.kb
-        if self.shares:
-            self.rates[ex.tenant] += 1.0 / self.spans[ex.tenant]
-        # Being read takes a while on an idle backend too; only what goes beyond the least seen is waiting.
-        self.reading, self.waits = min(self.reading, ex.waited), min(self.waits, ex.waited)
-        self.unread += 0.1 * (ex.waited - self.reading - self.unread)
-        c.value = self._value(c)
-        c.steps = self._course(c)
-        self._step(c, None)
-
-    def _value(self, c: Course) -> float:
-        """Benefit for each ms of work, less what its tenant sends beyond our part of its allowance."""
-        value = c.group.benefit if self.by_work else c.group.benefit / c.group.usual
-        if self.shares:
-            within = min(1.0, self.shares[c.ex.tenant] / max(1e-9, self.rates[c.ex.tenant]))
-            value *= within + (1.0 - within) * self.over_benefit
+        state = exchange.course = ExchangeState(exchange, self.groups[exchange.group], now)
+        self.used_kb += exchange.kb
+        if self.tenant_shares:
+            self.tenant_rates[exchange.tenant] += 1.0 / self.tenant_windows_ms[exchange.tenant]
+        # Being read takes a while on an idle backend too; only what goes beyond the least delay is waiting.
+        self.least_read_delay_ms = min(self.least_read_delay_ms, exchange.waited)
+        self.window_least_read_delay_ms = min(self.window_least_read_delay_ms, exchange.waited)
+        self.mean_read_delay_ms += READ_DELAY_SMOOTHING * (
+            exchange.waited - self.least_read_delay_ms - self.mean_read_delay_ms
+        )
+        state.value = self._initial_value(state)
+        state.flow = self._exchange_flow(state)
+        self._advance(state, None)
+
+    def _initial_value(self, state: ExchangeState) -> float:
+        """Benefit for each ms of work; less for a tenant beyond this backend's part of its allowance."""
+        value = state.group.benefit if self.benefit_by_work else state.group.benefit / state.group.mean_run_ms
+        if self.tenant_shares:
+            tenant = state.exchange.tenant
+            within_share = min(1.0, self.tenant_shares[tenant] / max(1e-9, self.tenant_rates[tenant]))
+            value *= within_share + (1.0 - within_share) * self.over_share_benefit
         return value
 
-    def _expected(self, c: Course) -> float:
-        return c.group.usual * self.slowness * c.group.weigh_hint(c.ex.work_hint)
-
-    def _wait(self) -> float:
-        """How long one that comes now would stand in the hold."""
-        ahead = sum(g.usual * len(g.line) for g in self.groups)
-        return ahead * self.slowness / self._room()
-
-    def _last_use(self, c: Course) -> float:
-        """The latest start that can still earn something."""
-        slo = (c.first if self.storm else c.reached) + c.group.slo + c.group.stretch * self._expected(c)
-        late = c.group.late_benefit > 0 or (self.storm and c.ex.deaf)
-        use = c.due - self.margin if late else min(slo, c.due - self.margin)
-        return use - 0.7 * self._expected(c)
-
-    def _worth(self, c: Course) -> float:
-        """Its value if it were started now. In a storm what is too late for its SLO time goes last, and the
-        work of one whose caller heeds nothing counts less the readings that its denial would bring: it sheds
-        nothing."""
-        value = c.value
-        if self.storm and c.ex.deaf:
-            reading = min(self.reading, c.group.usual)
-            tries = (c.due - self.now) / (AGAIN_MS + reading + self.unread)
-            value /= max(LEAST_WORK, 1.0 - tries * reading / c.group.usual)
-        if self.storm and self.now > c.first + c.group.slo - self._expected(c):
-            value *= max(LATE_VALUE, c.group.late_benefit)
+    def _expected_run_ms(self, state: ExchangeState) -> float:
+        return state.group.mean_run_ms * self.slowness * state.group.relative_work(state.exchange.work_hint)
+
+    def _queue_wait_ms(self) -> float:
+        """How long an exchange that arrives now would wait in the queue."""
+        work_ahead_ms = sum(group.mean_run_ms * len(group.queue) for group in self.groups)
+        return work_ahead_ms * self.slowness / self._run_capacity()
+
+    def _latest_useful_start(self, state: ExchangeState) -> float:
+        """The latest start that can still earn a benefit."""
+        group = state.group
+        slo_from = state.first_try_at if self.is_retry_storm else state.reached_at
+        slo_end = slo_from + group.slo + group.slo_stretch * self._expected_run_ms(state)
+        earns_late = group.late_benefit > 0 or (self.is_retry_storm and state.exchange.deaf)
+        answer_due = state.deadline - self.answer_margin_ms
+        useful_until = answer_due if earns_late else min(slo_end, answer_due)
+        return useful_until - LATEST_START_RUN_FRACTION * self._expected_run_ms(state)
+
+    def _value_now(self, state: ExchangeState) -> float:
+        """The value of an exchange if it were started now.
+
+        In a retry storm, what is too late for its SLO time goes last. A denial sheds nothing where the caller
+        ignores backpressure: from the work of such a run, the reads of the tries that its denial would bring
+        are subtracted.
+        """
+        value = state.value
+        mean_run_ms = state.group.mean_run_ms
+        if self.is_retry_storm and state.exchange.deaf:
+            read_ms = min(self.least_read_delay_ms, mean_run_ms)
+            tries = (state.deadline - self.now) / (RETRY_AFTER_DENIAL_MS + read_ms + self.mean_read_delay_ms)
+            value /= max(MIN_NET_WORK_FRACTION, 1.0 - tries * read_ms / mean_run_ms)
+        if self.is_retry_storm:
+            latest_start = state.first_try_at + state.group.slo - self._expected_run_ms(state)
+            if self.now > latest_start:
+                value *= max(LATE_VALUE_FRACTION, state.group.late_benefit)
         return value
 
-    def _refused(self, c: Course) -> bool:
-        late = self.now > min(self._last_use(c), self.stop_at - 2.0 * self.margin)
-        if late or c.reached > self.until:
+    def _is_rejected(self, state: ExchangeState) -> bool:
+        """Whether an arrival is denied; where the queue is full, may deny a queued exchange in its place."""
+        latest_start = min(self._latest_useful_start(state), self.stop_at - 2.0 * self.answer_margin_ms)
+        if self.now > latest_start or state.reached_at > self.drain_ends_at:
             return True
-        if max(self.memory_gauge, self.used_kb / self.memory_kb) > REFUSE_MEMORY:
+        if max(self.memory_gauge, self.used_kb / self.memory_kb) > REJECT_MEMORY_FRACTION:
             return True
         # The dearer reading is beside a run, the more a denial wastes, here and where it is tried next.
-        usual = sum(g.usual for g in self.groups) / len(self.groups)
-        share = (HOLD_LEAST + HOLD_READING * min(0.5, self.reading / usual)) / self.cores
-        if not (self.held and self._cpu() > REFUSE_CPU):
-            share *= HOLD_CALM
-        # One size for all groups, or the hasty starve
-        wait = self._wait()
-        if wait <= min(HOLD_MOST, share) * self.shortest_slo:
+        mean_run_ms = sum(group.mean_run_ms for group in self.groups) / len(self.groups)
+        reading_of_run = min(MAX_READING_OF_RUN, self.least_read_delay_ms / mean_run_ms)
+        max_wait_of_slo = (MIN_QUEUE_WAIT + QUEUE_WAIT_FOR_READING * reading_of_run) / self.cores
+        if not (self.queued_count and self._mean_cpu() > REJECT_CPU_FRACTION):
+            max_wait_of_slo *= CALM_QUEUE_WAIT_MULTIPLE
+        # One length for all groups, or those with short SLO times starve.
+        wait_ms = self._queue_wait_ms()
+        if wait_ms <= min(MAX_QUEUE_WAIT, max_wait_of_slo) * self.shortest_slo:
             return False
-        if self.storm:
-            # A full hold costs more than it sheds: who has a turn in time stays.
-            turn = self._last_use(c) if c.ex.deaf else c.reached + HOLD_MOST * c.group.slo
-            if self.now + wait <= turn:
+        if self.is_retry_storm:
+            # Denials of a full queue cost more than they shed: what would start in time stays.
+            start_by = (
+                self._latest_useful_start(state)
+                if state.exchange.deaf
+                else state.reached_at + MAX_QUEUE_WAIT * state.group.slo
+            )
+            if self.now + wait_ms <= start_by:
                 return False
-        # The hold is full: of the arrival and all held, the one of least value is turned away.
-        lines = [g.line for g in self.groups if g.line]
-        least = min((min(line, key=self._worth) for line in lines), key=self._worth)
-        if self._worth(least) >= 0.8 * self._worth(c):
+        # The queue is full: of the arrival and all queued, the one of least value is denied.
+        queues = [group.queue for group in self.groups if group.queue]
+        least = min((min(queue, key=self._value_now) for queue in queues), key=self._value_now)
+        if self._value_now(least) >= DISPLACEMENT_FRACTION * self._value_now(state):
             return True
-        self._resume(least, Word.SHED)
+        self._resume(least, ResumeReason.DISPLACED)
         return False
 
-    def _cpu(self) -> float:
-        return sum(self.cpu_samples) / len(self.cpu_samples) if len(self.cpu_samples) == CPU_SPAN else 0.0
+    def _mean_cpu(self) -> float:
+        if len(self.cpu_samples) < CPU_WINDOW_SAMPLES:
+            return 0.0
+        return sum(self.cpu_samples) / len(self.cpu_samples)
 
-    # The hold
+    # The queue
 
-    def _hold(self, c: Course) -> None:
-        c.group.line.append(c)
-        self.held += 1
-        self._wake(c, min(c.due - self.margin, self._last_use(c)))
+    def _enqueue(self, state: ExchangeState) -> None:
+        state.group.queue.append(state)
+        self.queued_count += 1
+        self._wake_at(state, min(state.deadline - self.answer_margin_ms, self._latest_useful_start(state)))
 
-    def _resume(self, c: Course, word: Word) -> None:
-        if c in c.group.line:
-            c.group.line.remove(c)
-            self.held -= 1
-        self._step(c, word)
+    def _resume(self, state: ExchangeState, reason: ResumeReason) -> None:
+        """Resumes an exchange, and takes it off its queue if it stands there."""
+        if state in state.group.queue:
+            state.group.queue.remove(state)
+            self.queued_count -= 1
+        self._advance(state, reason)
 
     def machine_began(self, cold: bool, born: float) -> None:
-        """Also under a backend that goes on: its cores are cold again, and survive what cold ones do."""
-        self.cold_from, self.born = self.coldest if cold else 1.0, born
+        """The machine started at `born`, possibly under a backend that goes on.
+
+        Its cores are cold again then, and survive what cold cores do.
+        """
+        self.initial_warmth = self.cold_warmth if cold else 1.0
+        self.machine_started_at = born
 
     def warmth(self) -> float:
-        if self.cold_from >= 1.0:
+        """The capacity of the machine as a part of what it has when warm."""
+        if self.initial_warmth >= 1.0:
             return 1.0
-        warmed = (self.now - self.born) / max(1.0, self.warm_within)
-        return min(1.0, self.cold_from + (1.0 - self.cold_from) * warmed)
-
-    def _ceiling(self) -> float:
-        """The crowd this backend survives, ramped evenly from the cold one."""
-        return max(1.0, (1.0 + (self.crowd_warm - 1.0) * self.warmth()) * self.cores)
-
-    def _room(self) -> float:
-        return max(1.0, min(self.limit, self._ceiling()))
-
-    def _start_held(self) -> None:
-        """Lines take turns by the value of their eldest and carry over what they do not get. In a line those
-        of highest value go first, the eldest among equals: tenants within their share before those beyond."""
-        while self.held and len(self.running) < self._room():
-            lines = [g for g in self.groups if g.line]
-            total = sum(g.line[0].value for g in lines) or 1.0
-            for g in lines:
-                g.credit += g.line[0].value / total
-            turn = max(lines, key=lambda g: g.credit)
-            c = max(turn.line, key=self._worth)
-            more = c.ex.kb * (self.run_weight - 1.0)
-            short = self.used_kb + more > MEMORY_USED * self.memory_kb
-            if short and self.running:
+        warm_up_fraction = (self.now - self.machine_started_at) / max(1.0, self.warm_within)
+        return min(1.0, self.initial_warmth + (1.0 - self.initial_warmth) * warm_up_fraction)
+
+    def _safe_concurrency(self) -> float:
+        """The concurrency that this backend survives, ramped evenly from that of a cold one."""
+        per_core = 1.0 + (self.warm_concurrency_per_core - 1.0) * self.warmth()
+        return max(1.0, per_core * self.cores)
+
+    def _run_capacity(self) -> float:
+        return max(1.0, min(self.run_limit, self._safe_concurrency()))
+
+    def _start_queued(self) -> None:
+        """Starts queued exchanges while there is capacity.
+
+        The queues share the starts by the value of their eldest exchange, and carry over what they do not
+        get. In a queue the highest value goes first, the eldest among equals: so tenants within their share
+        come before those beyond it.
+        """
+        while self.queued_count and len(self.running) < self._run_capacity():
+            waiting = [group for group in self.groups if group.queue]
+            total_value = sum(group.queue[0].value for group in waiting) or 1.0
+            for group in waiting:
+                group.start_credit += group.queue[0].value / total_value
+            chosen = max(waiting, key=lambda group: group.start_credit)
+            state = max(chosen.queue, key=self._value_now)
+            extra_kb = state.exchange.kb * (self.run_weight - 1.0)
+            lacks_memory = self.used_kb + extra_kb > USABLE_MEMORY_FRACTION * self.memory_kb
+            if lacks_memory and self.running:
                 return
-            turn.credit -= 1.0
-            for g in self.groups:
-                g.credit = g.credit if g.line else 0.0
-            # Nothing runs whose end would make room: what does not fit now never will.
-            self._resume(c, Word.SHED if short else Word.TURN)
+            chosen.start_credit -= 1.0
+            for group in self.groups:
+                group.start_credit = group.start_credit if group.queue else 0.0
+            # With no run whose end would free memory, what does not fit now never will.
+            self._resume(state, ResumeReason.DISPLACED if lacks_memory else ResumeReason.CAPACITY_FREE)
 
     # Runs and calls
 
-    def finished(self, ex: Exchange, outcome: Outcome, took: float, now: float) -> None:
+    def finished(self, exchange: Exchange, outcome: Outcome, took: float, now: float) -> None:
+        """A run ended, or the original that a retry waits for; `took` is the duration of the run."""
         self.now = now
-        c: Course | None = ex.course
-        if c is None or c.place is Place.OVER:
+        state: ExchangeState | None = exchange.course
+        if state is None or state.phase is Phase.CLOSED:
             return
-        self.ended += c.place is not Place.JOINED
-        if c.place is not Place.JOINED and outcome is Outcome.OK:
-            self._learn_run(c, took)
+        self.ended_since_sample += state.phase is not Phase.WAITING_FOR_ORIGINAL
+        if state.phase is not Phase.WAITING_FOR_ORIGINAL and outcome is Outcome.OK:
+            self._learn_run(state, took)
         if outcome is Outcome.MOOT:
-            self._unkept(c)
-        word: Outcome | Word = outcome
-        if c.place in CALLS:
-            # Guards against taking the end of a run for that of its call, which may be made once more.
-            self._leave_call(c)
-            c.place, word = Place.RUNNING, Word.ENDED
-            if c.answered or outcome is not Outcome.CANCELLED:
-                c.steps = None
-        if outcome is Outcome.CANCELLED and not c.answered:
-            c.place = Place.HELD  # stopped by none of ours: the answer is still owed
+            self._release_key(state)
+        resumed_by: Outcome | ResumeReason = outcome
+        if state.phase in CALL_PHASES:
+            # The flow would take the run's outcome for that of its call, and might call once more.
+            self._leave_call(state)
+            state.phase = Phase.RUNNING
+            resumed_by = ResumeReason.RUN_ENDED
+            if state.is_answered or outcome is not Outcome.CANCELLED:
+                state.flow = None
+        if outcome is Outcome.CANCELLED and not state.is_answered:
+            state.phase = Phase.QUEUED  # not cancelled by the controller: the answer is still owed
         else:
-            self._over(c)
-        self.running.pop(c, None)
-        self._step(c, word)
-
-    def _learn_run(self, c: Course, took: float) -> None:
-        g = c.group
-        alone = max(1.0, took - c.below_ms)  # calls are the dependency's time
-        expected = g.usual * g.weigh_hint(c.ex.work_hint)
-        self.done += expected
-        new = self.warmth() < 1.0 or g.runs < 10  # the first to finish are the short ones
-        if not new:
-            self.slowness += 0.07 * (min(10.0, alone / expected) - self.slowness)
-        if new or self.slowness < SLOW:
-            g.runs += 1
-            rate = max(0.03, 1.0 / (g.runs + 3))
-            g.usual += rate * (alone - g.usual)
-            g.learn_hint(c.ex.work_hint, alone, rate)
-
-    def at_call(self, ex: Exchange, now: float) -> None:
+            self._close(state)
+        self.running.pop(state, None)
+        self._advance(state, resumed_by)
+
+    def _learn_run(self, state: ExchangeState, took_ms: float) -> None:
+        """Learns the mean run time and the slowness; runs of an unhealthy backend leave the mean as it is."""
+        group = state.group
+        run_ms = max(1.0, took_ms - state.dependency_ms)
+        expected_ms = group.mean_run_ms * group.relative_work(state.exchange.work_hint)
+        self.finished_work_ms += expected_ms
+        is_warming_up = self.warmth() < 1.0 or group.learned_runs < WARM_UP_RUNS
+        if not is_warming_up:
+            slowness_sample = min(MAX_SLOWNESS_SAMPLE, run_ms / expected_ms)
+            self.slowness += SLOWNESS_SMOOTHING * (slowness_sample - self.slowness)
+        if is_warming_up or self.slowness < SLOW_RUN_MULTIPLE:
+            group.learned_runs += 1
+            rate = max(MIN_LEARNING_RATE, 1.0 / (group.learned_runs + 3))
+            group.mean_run_ms += rate * (run_ms - group.mean_run_ms)
+            group.learn_hint(state.exchange.work_hint, run_ms, rate)
+
+    def at_call(self, exchange: Exchange, now: float) -> None:
+        """A run stands at a call to the dependency."""
         self.now = now
-        if ex.course is not None and ex.course.place is Place.RUNNING:
-            self._step(ex.course, Word.AT_CALL)
+        if exchange.course is not None and exchange.course.phase is Phase.RUNNING:
+            self._advance(exchange.course, ResumeReason.REACHED_CALL)
 
-    def call_ended(self, ex: Exchange, outcome: Outcome, took: float, now: float) -> None:
+    def call_ended(self, exchange: Exchange, outcome: Outcome, took: float, now: float) -> None:
+        """A call to the dependency ended after `took` ms."""
         self.now = now
-        c: Course | None = ex.course
-        if c is None or c.place is not Place.CALLING:
+        state: ExchangeState | None = exchange.course
+        if state is None or state.phase is not Phase.CALLING:
             return
         if outcome is Outcome.TIMEOUT:
-            self._push(now + self.call_lingers, -1)
+            self._add_timer(now + self.abandoned_call_ms, -1)
         else:
             self._count_calls(-1)
-        c.below_ms += took
-        c.place = Place.RUNNING if outcome is Outcome.OK else Place.AT_CALL
-        self._step(c, outcome)
+        state.dependency_ms += took
+        state.phase = Phase.RUNNING if outcome is Outcome.OK else Phase.WAITING_FOR_CALL
+        self._advance(state, outcome)
 
     def _count_calls(self, change: int) -> None:
-        passed = 1.0 - exp((self.calls_seen - self.now) / self.calls_over)
-        self.calls_mean += (self.calls - self.calls_mean) * passed
-        self.calls_seen = self.now
-        self.calls += change
+        """Changes the number of calls in flight, and brings its mean up to date first."""
+        weight = 1.0 - exp((self.calls_averaged_at - self.now) / self.calls_window_ms)
+        self.mean_calls_in_flight += (self.calls_in_flight - self.mean_calls_in_flight) * weight
+        self.calls_averaged_at = self.now
+        self.calls_in_flight += change
 
     def _start_calls(self) -> None:
-        while self.parked:
+        while self.waiting_for_call:
             self._count_calls(0)
-            # A share below one is kept as a mean: one call at a time, then a pause.
-            full = self.calls + 1 > self.calls_at_most
-            if full and (self.calls or self.calls_mean > 0.5 * self.calls_at_most):
+            # A share below one call is kept in the mean: one call at a time, then a pause.
+            is_full = self.calls_in_flight + 1 > self.max_calls
+            if is_full and (self.calls_in_flight or self.mean_calls_in_flight > 0.5 * self.max_calls):
                 return
-            self._step(self.parked.popleft(), Word.TURN)
+            self._advance(self.waiting_for_call.popleft(), ResumeReason.CAPACITY_FREE)
 
-    def caller_left(self, ex: Exchange, now: float) -> None:
+    def caller_left(self, exchange: Exchange, now: float) -> None:
+        """The caller no longer waits: the exchange needs no answer; a repeatable run is cancelled."""
         self.now = now
-        c: Course | None = ex.course
-        if c is None or c.place is Place.OVER:
+        state: ExchangeState | None = exchange.course
+        if state is None or state.phase is Phase.CLOSED:
             return
-        c.answered = True
-        if c.place in (Place.HELD, Place.JOINED):
-            c.steps = None
-            self._resume(c, Word.LATE)
-            self._over(c)
-        elif c.repeatable and self.can_halt and c.place is Place.RUNNING:
-            self.do(interface.Halt(ex))
+        state.is_answered = True
+        if state.phase in (Phase.QUEUED, Phase.WAITING_FOR_ORIGINAL):
+            state.flow = None
+            self._resume(state, ResumeReason.TOO_LATE)
+            self._close(state)
+        elif state.is_repeatable and self.can_cancel and state.phase is Phase.RUNNING:
+            self.perform(interface.Halt(exchange))
 
-    # Due times, samples, publishing
+    # Timers, samples, publishing
 
-    def _push(self, at: float, what: Any) -> None:
-        heappush(self.dues, (at, self.order(), what))
+    def _add_timer(self, at: float, action: ExchangeState | int | float) -> None:
+        heappush(self.timers, (at, self.next_timer_number(), action))
 
-    def _wake(self, c: Course, at: float) -> None:
-        c.wake = at
-        self._push(at, c)
+    def _wake_at(self, state: ExchangeState, at: float) -> None:
+        state.wake_at = at
+        self._add_timer(at, state)
 
     def settle(self, now: float) -> None:
-        """After the events of one moment: what is due, then what may start."""
+        """Ends the events of one moment: runs the timers that are due, then starts what may start."""
         self.now = now
-        while self.dues and self.dues[0][0] <= now:
-            at, _, what = heappop(self.dues)
-            if isinstance(what, Course):
-                if what.wake == at and not what.answered:
-                    self._resume(what, Word.LATE)
-            elif isinstance(what, int):
-                self._count_calls(what)
+        while self.timers and self.timers[0][0] <= now:
+            at, _, action = heappop(self.timers)
+            if isinstance(action, ExchangeState):
+                if action.wake_at == at and not action.is_answered:
+                    self._resume(action, ResumeReason.TOO_LATE)
+            elif isinstance(action, int):
+                self._count_calls(action)
             else:
-                self.used_kb -= what
-        if now >= self.stop_at - 2.0 * self.margin:
-            for c in [c for g in self.groups for c in g.line] + list(self.running) + list(self.joined):
-                if not c.answered:
-                    self._resume(c, Word.STOP)
+                self.used_kb -= action
+        if now >= self.stop_at - 2.0 * self.answer_margin_ms:
+            queued = [state for group in self.groups for state in group.queue]
+            for state in queued + list(self.running) + list(self.waiting_for_original):
+                if not state.is_answered:
+                    self._resume(state, ResumeReason.SHUTDOWN)
         self._start_calls()
-        self._start_held()
-        self.peak = max(self.peak, self.held + len(self.running))
+        self._start_queued()
+        self.peak_in_progress = max(self.peak_in_progress, self.queued_count + len(self.running))
 
     def leave(self, left: float, now: float) -> float:
-        """Until when arrivals may still run. What callers hear falls to nothing then, not now: they learn of
-        the notice late, and those that could be served here would find the others full."""
-        self.now, self.stop_at = now, now + left
-        self.until = min(now + self.grace - self.margin, self.stop_at - 2.0 * self.margin)
-        self.do(interface.Health(False, True))
-        return self.until
+        """Starts the drain, with `left` ms until the process stops; returns until when arrivals may run.
+
+        The published value falls to nothing only then: callers learn of the drain late, and those that could
+        be served here would find the other backends full.
+        """
+        self.now = now
+        self.stop_at = now + left
+        self.drain_ends_at = min(
+            now + self.drain_grace - self.answer_margin_ms, self.stop_at - 2.0 * self.answer_margin_ms
+        )
+        self.perform(interface.Health(False, True))
+        return self.drain_ends_at
 
     def alarm(self, name: str, gauges: interface.Gauges, now: float) -> None:
+        """The timer of a sample fired: takes in the gauges, adapts the limits, checks duress and health."""
         self.now = now
-        self.do(interface.Alarm("beat", BEAT))
-        self.beats += 1
-        busy = len(self.running) / self.cores if gauges.cpu is None else gauges.cpu
-        self.cpu_samples.append(min(1.0, busy))
-        crowd = len(self.running) if gauges.on_cores is None else gauges.on_cores
-        self.on_cores += 0.1 * (crowd - self.on_cores)
-        self.memory_gauge, self.storm = gauges.memory or 0.0, gauges.storm
-        self.unread *= 0.98
-        self.rates = [r * (1.0 - BEAT / span) for r, span in zip(self.rates, self.spans, strict=True)]
-        for c in self.running:
-            c.cpu += BEAT * min(1.0, busy * self.cores / len(self.running))
-        self._learn_limit()
-        self._duress(busy)
-        self._look_after()
-        if self.beats % PUBLISH_BEATS == 0:
+        self.perform(interface.Alarm("beat", SAMPLE_INTERVAL_MS))
+        self.samples += 1
+        cpu = self._take_gauges(gauges)
+        self._adapt_run_limit()
+        self._check_duress(cpu)
+        self._check_health()
+        if self.samples % PUBLISH_INTERVAL_SAMPLES == 0:
             self._publish()
-            # Many callers that seldom come back fill the table: it costs cores, then others find no room.
-            idling = (gauges.connections or 0.0) - self.held - len(self.running)
-            crowded = idling > LINKS_PER_CORE * self.cores
-            idle = min(self.idle_most, max(BEAT, self.idle * (0.7 if crowded else 1.1)))
-            if idle != self.idle:
-                self.idle = idle
-                self.do(interface.IdleLimit(idle))
-
-    def _learn_limit(self) -> None:
-        """As many as fill the cores; waits for disk and calls make room for more. How full they should be is
-        learned from the work that ends: a step on while it grows, a step back when it shrinks. Never under
-        one run a core: in a flood, readings and handshakes would push the runs off the cores."""
-        full = self.cores + self.spare
-        if self.held and self.on_cores < full:
-            self.limit = min(self._ceiling(), self.limit + 0.1)
-        elif self.on_cores > full + 0.5:
-            self.limit = max(self.cores, self.limit - 0.1)
-        self.busy_beats += self.held > 0
-        if self.beats % SPARE_BEATS == 0:
-            if self.busy_beats > 0.7 * SPARE_BEATS:
-                if self.done < self.done_before:
-                    self.spare_step = -self.spare_step
-                self.spare = min(SPARE_MOST, max(SPARE_LEAST, self.spare + self.spare_step))
-                self.done_before = self.done
-            self.done, self.busy_beats = 0.0, 0
-
-    def _look_after(self) -> None:
-        """Guards against being a sink: a backend whose cores got far slower, or where nothing ends any more,
-        denies fast and draws ever more. Runs owe an end each expected time, stretched by SLOW; once too many
-        are owed it shows bad health a while, then tries again, later each time that fails. So does one that
-        reads only what is stale and starts nothing, and one that was sick and still reads far too late."""
-        runs = [c for c in self.running if c.place is Place.RUNNING]
-        due = sum(1.0 / (c.group.usual * c.group.weigh_hint(c.ex.work_hint)) for c in runs)
-        self.owed = min(1.5 * SICK, max(0.0, self.owed + due * BEAT / SLOW - self.ended))
-        self.last_end = self.now if self.ended or not runs else self.last_end
-        self.ends += self.ended
-        self.ended = 0
-        if self.beats % CPU_SPAN == 0:
-            # A crowd beyond runs and a reading a core is handshakes: a storm of callers, and no sickness.
-            crowded = self.on_cores > 2.5 * self.cores
-            self.clogged, self.waits = self.reading < self.waits / 3.0 < 1e9 and not crowded, NEVER
-            self.useless, self.starts = self.clogged and self.starts == 0, 0
-        hung = bool(runs) and self.now - self.last_end > 10.0 * BEAT
-        slow = (self.reading < self.waits / 1.5 < 1e9 or hung) and self.owed > SICK and self.warmth() >= 1.0
-        if self.sick_until <= 0.0 and (slow or self.useless or (self.clogged and self.sick_ms > SICK_MS)):
-            self.sick_until, self.sick_ms = self.now + self.sick_ms, min(4.0 * SICK_MS, 2.0 * self.sick_ms)
-            self.slowness, self.ends = max(self.slowness, SLOW), 0
-            self.do(interface.Health(False, True))
-            self.do(interface.Log("runs hardly end or none starts: bad health for a while"))
-        elif self.sick_until > 0.0 and not self.clogged and not hung:
-            well = self.owed < 1.0 and self.ends > SICK
-            if well or self.now > self.sick_until:
-                self.sick_ms = SICK_MS if well else self.sick_ms
-                self.sick_until, self.owed = 0.0, min(self.owed, 0.5 * SICK)
-                self.reading = NEVER  # while the work hung, reading took no time at all
-                self.do(interface.Health(self.until == NEVER, True))
-
-    def _duress(self, busy: float) -> None:
-        """The source's search backpressure: after three pressed samples the highest score goes."""
+            self._adapt_idle_timeout(gauges.connections or 0.0)
+
+    def _take_gauges(self, gauges: interface.Gauges) -> float:
+        """Updates the rolling gauges; returns how busy the cores are."""
+        cpu = len(self.running) / self.cores if gauges.cpu is None else gauges.cpu
+        self.cpu_samples.append(min(1.0, cpu))
+        on_cores = len(self.running) if gauges.on_cores is None else gauges.on_cores
+        self.mean_on_cores += CONCURRENCY_SMOOTHING * (on_cores - self.mean_on_cores)
+        self.memory_gauge = gauges.memory or 0.0
+        self.is_retry_storm = gauges.storm
+        self.mean_read_delay_ms *= READ_DELAY_DECAY
+        self.tenant_rates = [
+            rate * (1.0 - SAMPLE_INTERVAL_MS / window_ms)
+            for rate, window_ms in zip(self.tenant_rates, self.tenant_windows_ms, strict=True)
+        ]
+        for state in self.running:
+            state.cpu_ms += SAMPLE_INTERVAL_MS * min(1.0, cpu * self.cores / len(self.running))
+        return cpu
+
+    def _adapt_run_limit(self) -> None:
+        """Lets as many run as fill the cores; waits for disk and calls make room for more.
+
+        How full the cores should be is learned from the work that ends: a step on while it grows, a step back
+        when it shrinks. The limit is never under one run a core: in a flood, reads and handshakes would push
+        the runs off the cores.
+        """
+        wanted = self.cores + self.extra_concurrency
+        if self.queued_count and self.mean_on_cores < wanted:
+            self.run_limit = min(self._safe_concurrency(), self.run_limit + RUN_LIMIT_STEP)
+        elif self.mean_on_cores > wanted + RUN_LIMIT_SLACK:
+            self.run_limit = max(self.cores, self.run_limit - RUN_LIMIT_STEP)
+        self.backlogged_samples += self.queued_count > 0
+        if self.samples % EXTRA_CONCURRENCY_SAMPLES == 0:
+            if self.backlogged_samples > BACKLOGGED_SAMPLES_FRACTION * EXTRA_CONCURRENCY_SAMPLES:
+                if self.finished_work_ms < self.previous_finished_work_ms:
+                    self.extra_concurrency_step = -self.extra_concurrency_step
+                changed = self.extra_concurrency + self.extra_concurrency_step
+                self.extra_concurrency = min(MAX_EXTRA_CONCURRENCY, max(MIN_EXTRA_CONCURRENCY, changed))
+                self.previous_finished_work_ms = self.finished_work_ms
+            self.finished_work_ms = 0.0
+            self.backlogged_samples = 0
+
+    def _check_health(self) -> None:
+        """Takes this backend out of service while it would only attract and fail traffic.
+
+        A backend whose cores got far slower, or where no run ends, denies fast and so attracts ever more.
+        Each run owes its end after its expected time, stretched by SLOW_RUN_MULTIPLE; once too many are
+        owed, the backend shows bad health for a while and then tries again, later each time that fails. So
+        does one that reads only stale arrivals and starts nothing, and one that was unhealthy and still
+        reads far too late.
+        """
+        runs = [state for state in self.running if state.phase is Phase.RUNNING]
+        ends_per_ms = sum(
+            1.0 / (state.group.mean_run_ms * state.group.relative_work(state.exchange.work_hint))
+            for state in runs
+        )
+        owed_runs = self.owed_runs + ends_per_ms * SAMPLE_INTERVAL_MS / SLOW_RUN_MULTIPLE
+        self.owed_runs = min(
+            MAX_TRACKED_OWED_MULTIPLE * MAX_OWED_RUNS, max(0.0, owed_runs - self.ended_since_sample)
+        )
+        self.last_end_at = self.now if self.ended_since_sample or not runs else self.last_end_at
+        self.ended_since_unhealthy += self.ended_since_sample
+        self.ended_since_sample = 0
+        if self.samples % CPU_WINDOW_SAMPLES == 0:
+            self._check_reads()
+        is_hung = bool(runs) and self.now - self.last_end_at > HUNG_INTERVALS * SAMPLE_INTERVAL_MS
+        if self.unhealthy_until <= 0.0:
+            if self._should_turn_unhealthy(is_hung):
+                self._turn_unhealthy()
+        elif not self.reads_only_stale and not is_hung:
+            self._turn_healthy_if_recovered()
+
+    def _check_reads(self) -> None:
+        """Once in a window: whether all its arrivals were read late, and whether none was started."""
+        # Concurrency beyond runs and reads is handshakes: many callers connect, and the backend is healthy.
+        has_handshakes = self.mean_on_cores > HANDSHAKE_CONCURRENCY_PER_CORE * self.cores
+        self.reads_only_stale = self._reads_late(STALE_READ_MULTIPLE) and not has_handshakes
+        self.window_least_read_delay_ms = NEVER
+        self.starts_nothing = self.reads_only_stale and self.starts_in_window == 0
+        self.starts_in_window = 0
+
+    def _reads_late(self, multiple: float) -> bool:
+        """Whether all arrivals of the window waited more than `multiple` times the least read delay."""
+        least_ms = self.window_least_read_delay_ms / multiple
+        return self.least_read_delay_ms < least_ms < LONGEST_READ_DELAY_MS
+
+    def _should_turn_unhealthy(self, is_hung: bool) -> bool:
+        is_slow = (
+            (self._reads_late(SLOW_READ_MULTIPLE) or is_hung)
+            and self.owed_runs > MAX_OWED_RUNS
+            and self.warmth() >= 1.0
+        )
+        was_unhealthy = self.next_unhealthy_ms > UNHEALTHY_MS
+        return is_slow or self.starts_nothing or (self.reads_only_stale and was_unhealthy)
+
+    def _turn_unhealthy(self) -> None:
+        self.unhealthy_until = self.now + self.next_unhealthy_ms
+        self.next_unhealthy_ms = min(MAX_UNHEALTHY_MULTIPLE * UNHEALTHY_MS, 2.0 * self.next_unhealthy_ms)
+        self.slowness = max(self.slowness, SLOW_RUN_MULTIPLE)
+        self.ended_since_unhealthy = 0
+        self.perform(interface.Health(False, True))
+        self.perform(interface.Log("runs hardly end or none starts: bad health for a while"))
+
+    def _turn_healthy_if_recovered(self) -> None:
+        """Ends bad health once the runs end again, or for a new trial once its time is over."""
+        has_recovered = self.owed_runs < 1.0 and self.ended_since_unhealthy > MAX_OWED_RUNS
+        if not has_recovered and self.now <= self.unhealthy_until:
+            return
+        if has_recovered:
+            self.next_unhealthy_ms = UNHEALTHY_MS
+        self.unhealthy_until = 0.0
+        self.owed_runs = min(self.owed_runs, OWED_AFTER_RECOVERY_MULTIPLE * MAX_OWED_RUNS)
+        self.least_read_delay_ms = NEVER  # while the work hung, reading took no time at all
+        self.perform(interface.Health(self.drain_ends_at == NEVER, True))
+
+    def _check_duress(self, cpu: float) -> None:
+        """Cancels the running exchange with the highest score, after three samples under duress in a row.
+
+        After the search backpressure of the published source: the score is the sum of CPU time, memory and
+        elapsed time, each over its mean among the running exchanges.
+        """
         memory = max(self.memory_gauge, self.used_kb / self.memory_kb)
-        pressed = (busy > DURESS_CPU and self.held > 0) or memory > REFUSE_MEMORY
-        self.pressed_samples = self.pressed_samples + 1 if pressed else 0
-        if self.pressed_samples < DURESS_SAMPLES or not self.can_halt or not self.running:
+        is_duress = (cpu > DURESS_CPU_FRACTION and self.queued_count > 0) or memory > REJECT_MEMORY_FRACTION
+        self.duress_samples = self.duress_samples + 1 if is_duress else 0
+        if self.duress_samples < DURESS_SAMPLES or not self.can_cancel or not self.running:
             return
-        n = len(self.running)
-        cpu = sum(c.cpu for c in self.running) / n or 1.0
-        kb = sum(c.kb for c in self.running) / n or 1.0
-        elapsed = sum(self.now - c.began for c in self.running) / n or 1.0
-        outlying = [
-            c
-            for c in self.running
-            if not c.answered
-            and (self.now - c.began > OUTLIER * elapsed or c.kb > OUTLIER * kb)
-            and self.now - c.reached > 0.5 * c.group.timeout
+        run_count = len(self.running)
+        mean_cpu_ms = sum(state.cpu_ms for state in self.running) / run_count or 1.0
+        mean_kb = sum(state.memory_kb for state in self.running) / run_count or 1.0
+        mean_elapsed_ms = sum(self.now - state.started_at for state in self.running) / run_count or 1.0
+        outliers = [
+            state
+            for state in self.running
+            if not state.is_answered
+            and (
+                self.now - state.started_at > OUTLIER_MULTIPLE * mean_elapsed_ms
+                or state.memory_kb > OUTLIER_MULTIPLE * mean_kb
+            )
+            and self.now - state.reached_at > OUTLIER_TIMEOUT_FRACTION * state.group.timeout
         ]
-        if outlying:
-            worst = max(outlying, key=lambda c: c.cpu / cpu + c.kb / kb + (self.now - c.began) / elapsed)
-            self._step(worst, Word.CUT)
+
+        def cancellation_score(state: ExchangeState) -> float:
+            elapsed_ms = self.now - state.started_at
+            return state.cpu_ms / mean_cpu_ms + state.memory_kb / mean_kb + elapsed_ms / mean_elapsed_ms
+
+        if outliers:
+            self._advance(max(outliers, key=cancellation_score), ResumeReason.DURESS)
 
     def _publish(self) -> None:
-        """The value callers hear falls while exchanges wait, unread or held, and recovers by itself."""
-        strain = (self._wait() + self.unread) / (STRAIN * self.shortest_slo)
+        """Lowers the published value while exchanges wait, unread or queued; raises it again otherwise."""
+        wait_ms = self._queue_wait_ms() + self.mean_read_delay_ms
+        strain = wait_ms / (NEUTRAL_WAIT_OF_SLO * self.shortest_slo)
         if self.meaning is Meaning.NONE:
             return
-        self.open_to *= 1.0 - 0.15 * min(3.0, strain - 1.0) if strain > 1.0 else 1.0 + 0.12 * (1.0 - strain)
-        if self.meaning is Meaning.CREDIT and self.peak:
-            # Beyond what was in hand a credit binds nobody, and would take seconds to come down to that.
-            # While nothing comes it stays: the first to come would find the door shut.
-            in_hand = self.held + len(self.running) if self.held else self.peak
-            self.open_to, self.peak = min(self.open_to, 2.0 + in_hand), 0
+        if strain > 1.0:
+            self.openness *= 1.0 - FALL_PER_STRAIN * min(MAX_STRAIN, strain - 1.0)
+        else:
+            self.openness *= 1.0 + RECOVERY_PER_STRAIN * (1.0 - strain)
+        if self.meaning is Meaning.CREDIT and self.peak_in_progress:
+            # Beyond what was in progress a credit binds nobody, and would take seconds to fall to that.
+            # While nothing arrives it stays: otherwise the first to come would find too little.
+            in_progress = (
+                self.queued_count + len(self.running) if self.queued_count else self.peak_in_progress
+            )
+            self.openness = min(self.openness, CREDIT_HEADROOM + in_progress)
+            self.peak_in_progress = 0
+        storm_multiple = (
+            STORM_CREDIT_MULTIPLE if self.is_retry_storm and self.meaning is Meaning.CREDIT else 1.0
+        )
         # Reading costs a cold backend several times as much: it asks for its part of the traffic only.
-        least = self.open_at_least * (STORM_CREDIT if self.storm and self.meaning is Meaning.CREDIT else 1.0)
-        self.open_to = max(least, min(self.open_at_most * self.warmth(), self.open_to))
-        value = 0.0 if self.now > self.until else self.open_to
+        most = min(self.max_openness * self.warmth(), self.openness)
+        self.openness = max(self.min_openness * storm_multiple, most)
+        value = 0.0 if self.now > self.drain_ends_at else self.openness
         if self.meaning is Meaning.LEVEL:
             value = 1.0 - value
-        if abs(value - self.said) > 0.04 * self.said:
-            self.said = value
-            self.do(interface.Publish(round(value, 4)))
+        if abs(value - self.published_value) > PUBLISH_CHANGE_FRACTION * self.published_value:
+            self.published_value = value
+            self.perform(interface.Publish(round(value, 4)))
+
+    def _adapt_idle_timeout(self, connections: float) -> None:
+        """Closes idle connections sooner while there are many.
+
+        Many callers that seldom come back fill the table: it costs cores, and then others find no place.
+        """
+        idle = connections - self.queued_count - len(self.running)
+        is_crowded = idle > IDLE_CONNECTIONS_PER_CORE * self.cores
+        changed_ms = self.idle_timeout_ms * (IDLE_TIMEOUT_CUT if is_crowded else IDLE_TIMEOUT_GROWTH)
+        idle_timeout_ms = min(self.max_idle_timeout_ms, max(SAMPLE_INTERVAL_MS, changed_ms))
+        if idle_timeout_ms != self.idle_timeout_ms:
+            self.idle_timeout_ms = idle_timeout_ms
+            self.perform(interface.IdleLimit(idle_timeout_ms))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -7,7 +7,8 @@
 import pytest
 from helpers import answers, arrive, backend, group, of
 
-from myrtlecrank.policy.controller import CPU_SPAN, LEAST_WEIGHT, Controller, Word
+from myrtlecrank.policy.controller import CPU_WINDOW_SAMPLES, MIN_WEIGHT, Controller
+from myrtlecrank.policy.exchange_state import ResumeReason
 from myrtlecrank.policy.interface import (
     Below,
     Call,
@@ -68,7 +69,7 @@
     controller.settle(700.0)
     assert not answers(ops, held)
     controller.settle(900.0)
-    assert of(ops, Deny, held) and controller.held == 0
+    assert of(ops, Deny, held) and controller.queued_count == 0
 
 
 def test_without_a_told_wait_the_timeout_counts_from_the_machine() -> None:
@@ -82,7 +83,7 @@
     controller, ops = backend()
     exes = fill(controller, 8)
     controller.settle(60_000.0)
-    assert all(len(answers(ops, ex)) + (ex.course.answered is False) == 1 for ex in exes)
+    assert all(len(answers(ops, ex)) + (ex.course.is_answered is False) == 1 for ex in exes)
 
 
 def test_events_for_what_is_over_are_harmless() -> None:
@@ -103,7 +104,7 @@
     exes = fill(controller, 6)
     controller.caller_left(exes[0], 10.0)
     controller.caller_left(exes[5], 10.0)
-    assert of(ops, Halt, exes[0]) and controller.held == 1
+    assert of(ops, Halt, exes[0]) and controller.queued_count == 1
     controller.settle(5000.0)
     assert not answers(ops, exes[0]) and not answers(ops, exes[5])
 
@@ -125,7 +126,7 @@
 def test_what_has_run_is_failed_not_denied(kind: Kind) -> None:
     controller, ops = backend(group(kind))
     ex = arrive(controller, 0.0)
-    controller._step(ex.course, Word.CUT)
+    controller._advance(ex.course, ResumeReason.DURESS)
     assert of(ops, Fail, ex) and of(ops, Halt, ex) and not of(ops, Deny, ex)
     controller.settle(20.0)
     assert len(of(ops, Start, ex)) == 1
@@ -154,13 +155,13 @@
     until = controller.leave(5000.0, 0.0)
     for now in range(100, 1001, 100):
         controller.alarm("beat", Gauges(0.1), float(now))
-        assert (controller.said > 0.0) == (now <= until), now
+        assert (controller.published_value > 0.0) == (now <= until), now
     assert until < 1000.0 and of(ops, Publish)[-1].value == 0.0
 
 
 def test_a_credit_follows_the_most_in_hand_and_not_an_idle_instant() -> None:
     controller, _ = backend(meaning=Meaning.CREDIT)
-    controller.open_to = 8.0
+    controller.openness = 8.0
     for start in (10.0, 310.0):
         exes = fill(controller, 4, start)
         for ex in exes:
@@ -168,15 +169,15 @@
         for beat in range(1, 4):
             controller.settle(start + 5.0)
             controller.alarm("beat", Gauges(0.1), start - 10.0 + 100.0 * beat)
-        assert controller.said >= 6.0
+        assert controller.published_value >= 6.0
     for beat in range(7, 13):
         controller.settle(100.0 * beat)
         controller.alarm("beat", Gauges(0.1), 100.0 * beat)
-    assert controller.said >= 6.0  # nothing came, so nothing was learned
+    assert controller.published_value >= 6.0  # nothing came, so nothing was learned
     arrive(controller, 1210.0)
     for beat in range(13, 16):
         controller.alarm("beat", Gauges(0.1), 100.0 * beat)
-    assert controller.said == 3.0
+    assert controller.published_value == 3.0
 
 
 def test_all_is_answered_before_the_stop() -> None:
@@ -194,7 +195,7 @@
 
 def test_memory_is_kept_for_all_that_is_held_and_running() -> None:
     controller, ops = backend(memory_kb=400.0, crowd_per_core=50.0)
-    controller.limit = 50.0
+    controller.run_limit = 50.0
     fill(controller, 20)
     assert controller.used_kb <= 400.0
     assert 1 <= len(of(ops, Start)) <= 3 and of(ops, Deny)
@@ -208,12 +209,12 @@
 
 def test_a_cold_backend_starts_fewer_and_ramps() -> None:
     controller, _ = backend(cold=True)
-    controller.limit = 100.0
-    cold = controller._room()
+    controller.run_limit = 100.0
+    cold = controller._run_capacity()
     controller.now = 5000.0
-    half = controller._room()
+    half = controller._run_capacity()
     controller.now = 20_000.0
-    assert cold < half < controller._room() <= 5.0 * 4
+    assert cold < half < controller._run_capacity() <= 5.0 * 4
 
 
 def test_calls_stay_under_the_share_also_below_one() -> None:
@@ -272,16 +273,16 @@
     assert of(ops, Deny, arrive(controller, 0.0))
     controller.memory_gauge = 0.0
     exes = fill(controller, 30)
-    assert len(of(ops, Deny, exes[-1])) > 0 and controller.held < 20
+    assert len(of(ops, Deny, exes[-1])) > 0 and controller.queued_count < 20
 
 
 def test_the_cpu_gauge_shortens_the_hold() -> None:
     calm, _ = backend()
     fill(calm, 30)
     pressed, _ = backend()
-    pressed.cpu_samples.extend([1.0] * CPU_SPAN)
+    pressed.cpu_samples.extend([1.0] * CPU_WINDOW_SAMPLES)
     fill(pressed, 30)
-    assert 0 < pressed.held < calm.held
+    assert 0 < pressed.queued_count < calm.queued_count
 
 
 def test_the_least_value_is_turned_away_for_a_better_arrival() -> None:
@@ -294,13 +295,13 @@
 def test_lines_take_turns_by_weight() -> None:
     controller, ops = backend(group(slo=9000.0), group(slo=9000.0, benefit=3.0))
     for g in controller.groups:
-        g.usual = 200.0
+        g.mean_run_ms = 200.0
     fill(controller, 4)
     for _ in range(4):
         arrive(controller, 0.0)
         arrive(controller, 0.0, group=1)
     ops.clear()
-    controller.limit = 8.0
+    controller.run_limit = 8.0
     controller.settle(0.0)
     assert [op.ex.group for op in of(ops, Start)].count(1) == 3 and len(of(ops, Start)) == 4
 
@@ -310,7 +311,7 @@
     for waited in (10.0, 100.0):
         controller, _ = backend(group(timeout=60_000.0))
         fill(controller, 40, left=60_000.0, waited=waited)
-        held.append(controller.held)
+        held.append(controller.queued_count)
     assert 0 < held[0] < held[1]
 
 
@@ -328,22 +329,27 @@
     controller, _ = backend()
     fill(controller, 6)
     beats(controller, 0.0, 5, Gauges(0.5, 2.0, 0.1, 1.0))
-    grown = controller.limit
+    grown = controller.run_limit
     assert grown > 4.0
     beats(controller, 500.0, 30, Gauges(1.0, 12.0, 0.1, 1.0))
-    assert controller.limit < grown
+    assert controller.run_limit < grown
 
 
 def test_how_full_the_cores_should_be_follows_the_work_that_ends() -> None:
     controller, _ = backend()
     fill(controller, 6)
-    controller.beats, controller.busy_beats, controller.done, controller.done_before = 29, 29, 10.0, 9.0
-    start = controller.spare
+    (
+        controller.samples,
+        controller.backlogged_samples,
+        controller.finished_work_ms,
+        controller.previous_finished_work_ms,
+    ) = 29, 29, 10.0, 9.0
+    start = controller.extra_concurrency
     beats(controller, 0.0, 1)
-    up = controller.spare
-    controller.beats, controller.busy_beats, controller.done = 29, 29, 5.0
+    up = controller.extra_concurrency
+    controller.samples, controller.backlogged_samples, controller.finished_work_ms = 29, 29, 5.0
     beats(controller, 100.0, 1)
-    assert start < up and controller.spare < up
+    assert start < up and controller.extra_concurrency < up
 
 
 # Defences
@@ -352,12 +358,12 @@
 def test_the_published_value_falls_with_waiting_and_recovers() -> None:
     controller, ops = backend(meaning=Meaning.WEIGHT, backends=10)
     fill(controller, 6, waited=0.0)
-    controller.unread = 2000.0
+    controller.mean_read_delay_ms = 2000.0
     controller._publish()
     said = of(ops, Publish)[-1].value
     assert said < 1.0
-    controller.unread = 0.0
-    controller.groups[0].line.clear()
+    controller.mean_read_delay_ms = 0.0
+    controller.groups[0].queue.clear()
     for _ in range(60):
         controller._publish()
     assert of(ops, Publish)[-1].value > 0.95
@@ -365,15 +371,15 @@
 
 def test_the_weight_never_closes_quite() -> None:
     controller, _ = backend(meaning=Meaning.WEIGHT, backends=10)
-    controller.reading, controller.unread = 0.0, 1e6
+    controller.least_read_delay_ms, controller.mean_read_delay_ms = 0.0, 1e6
     for _ in range(100):
         controller._publish()
-    assert controller.open_to == LEAST_WEIGHT
+    assert controller.openness == MIN_WEIGHT
 
 
 def test_advised_waits_are_spread() -> None:
     controller, ops = backend()
-    controller.unread = 500.0
+    controller.mean_read_delay_ms = 500.0
     controller.memory_gauge = 0.9
     fill(controller, 20)
     waits = {op.wait for op in of(ops, Deny)}
@@ -387,10 +393,10 @@
     assert [op.on for op in of(ops, Health)] == [False]
     for ex in exes:
         controller.finished(ex, Outcome.OK, now, now)
-    controller.reading = 1.0
+    controller.least_read_delay_ms = 1.0
     beats(controller, now + 6000.0, 1)
     assert [op.on for op in of(ops, Health)] == [False, True]
-    assert controller.reading > 1.0
+    assert controller.least_read_delay_ms > 1.0
 
 
 def test_no_comeback_while_the_work_still_hangs() -> None:
@@ -402,15 +408,15 @@
 
 def test_one_that_reads_only_stale_arrivals_stays_away() -> None:
     controller, ops = backend(group(late_benefit=0.0))
-    controller.reading = 50.0
+    controller.least_read_delay_ms = 50.0
     arrive(controller, 0.0, waited=3000.0)
-    now = beats(controller, 0.0, CPU_SPAN)
+    now = beats(controller, 0.0, CPU_WINDOW_SAMPLES)
     assert [op.on for op in of(ops, Health)] == [False]
     for _ in range(7):
         arrive(controller, now, waited=3000.0)
-        now = beats(controller, now, CPU_SPAN)
+        now = beats(controller, now, CPU_WINDOW_SAMPLES)
     assert [op.on for op in of(ops, Health)] == [False]
-    beats(controller, now, 2 * CPU_SPAN)
+    beats(controller, now, 2 * CPU_WINDOW_SAMPLES)
     assert [op.on for op in of(ops, Health)] == [False, True]
 
 
@@ -439,17 +445,17 @@
     filled = fill(controller, 40)
     assert {op.last for op in of(ops, Deny)} == {True} and len(filled) == 40
     ops.clear()
-    controller.sick_until = 1e9
+    controller.unhealthy_until = 1e9
     fill(controller, 20)
     assert {op.last for op in of(ops, Deny)} == {False}
 
 
 def test_a_storm_of_handshakes_is_no_sickness() -> None:
     controller, ops = backend()
-    controller.reading = 50.0
+    controller.least_read_delay_ms = 50.0
     arrive(controller, 0.0, left=100.0, waited=3000.0)
-    controller.on_cores = 30.0
-    beats(controller, 0.0, CPU_SPAN, Gauges(1.0, 30.0, 0.1, 50.0))
+    controller.mean_on_cores = 30.0
+    beats(controller, 0.0, CPU_WINDOW_SAMPLES, Gauges(1.0, 30.0, 0.1, 50.0))
     assert not of(ops, Health)
 
 
@@ -459,7 +465,7 @@
 )
 def test_a_run_out_of_time_is_denied_only_under_pressure(kind: Kind, cpu: float, answer: type) -> None:
     controller, ops = backend(group(kind))
-    controller.cpu_samples.extend([cpu] * CPU_SPAN)
+    controller.cpu_samples.extend([cpu] * CPU_WINDOW_SAMPLES)
     ex = arrive(controller, 0.0)
     controller.settle(3900.0)
     assert [type(op) for op in answers(ops, ex)] == [answer]
@@ -469,11 +475,11 @@
 def test_of_a_line_the_highest_value_starts_first_and_the_eldest_among_equals() -> None:
     tenants = [Tenant("a", 0.5, 1.0), Tenant("b", 0.5, 1.0)]
     controller, ops = backend(cores=1, tenants=tenants, over_share_benefit=0.05)
-    controller.rates = [0.01, 0.0]
+    controller.tenant_rates = [0.01, 0.0]
     fill(controller, 3)
     within = fill(controller, 2, tenant=1)
     ops.clear()
-    controller.limit = 2.0
+    controller.run_limit = 2.0
     controller.settle(1.0)
     assert [op.ex for op in of(ops, Start)] == within[:1]
 
@@ -482,13 +488,15 @@
     controller, _ = backend(tenants=[Tenant("large", 0.9, 90.0), Tenant("small", 0.1, 0.5)])
     arrive(controller, 0.0)
     arrive(controller, 0.0, tenant=1)
-    assert controller.rates[0] == pytest.approx(1 / 3000) and controller.rates[1] == pytest.approx(1 / 12_000)
+    assert controller.tenant_rates[0] == pytest.approx(1 / 3000) and controller.tenant_rates[
+        1
+    ] == pytest.approx(1 / 12_000)
 
 
 def held_when_full(cores: int, waited: float) -> int:
     controller, _ = backend(cores=cores)
     fill(controller, 60, waited=waited)
-    return controller.held
+    return controller.queued_count
 
 
 def test_the_hold_takes_as_many_on_any_number_of_cores_but_no_more_than_is_of_use() -> None:
@@ -499,4 +507,4 @@
 def test_readings_and_handshakes_never_push_runs_below_one_a_core() -> None:
     controller, _ = backend()
     beats(controller, 0.0, 100, Gauges(1.0, 40.0, 0.1, 50.0))
-    assert controller.limit == 4.0
+    assert controller.run_limit == 4.0
--- a/tests/test_controller_retry_storm.py
+++ b/tests/test_controller_retry_storm.py
@@ -6,6 +6,7 @@
 from helpers import answers, arrival, arrive, backend, group, of
 
 from myrtlecrank.policy.controller import Controller
+from myrtlecrank.policy.exchange_state import Phase
 from myrtlecrank.policy.interface import Deny, Exchange, Gauges, Meaning, Publish, Start
 
 CALM, STORM = Gauges(1.0, 6.0, 0.1, 1.0), Gauges(1.0, 6.0, 0.1, 1.0, storm=True)
@@ -14,7 +15,7 @@
 def stormy(storm: bool = True, **facts: object) -> tuple[Controller, list[object]]:
     controller, ops = backend(**facts)  # type: ignore[arg-type]
     controller.alarm("beat", STORM if storm else CALM, 0.0)
-    controller.reading, controller.unread = 50.0, 0.0
+    controller.least_read_delay_ms, controller.mean_read_delay_ms = 50.0, 0.0
     return controller, ops
 
 
@@ -25,7 +26,7 @@
 def started(controller: Controller, ops: list[object]) -> Exchange:
     """What the next free place goes to."""
     ops.clear()
-    controller.limit = len(controller.running) + 1.0
+    controller.run_limit = len(controller.running) + 1.0
     controller.settle(1.0)
     return of(ops, Start)[0].ex
 
@@ -33,10 +34,10 @@
 def test_one_whose_denial_sheds_nothing_is_held_as_long_as_its_turn_comes_in_time() -> None:
     controller, _ = stormy(cores=1)
     fill(controller, 40)
-    held = controller.held
+    held = controller.queued_count
     deaf = fill(controller, 1, deaf=True)[0]
-    assert controller.held == held + 1
-    assert deaf.course.place.name == "HELD"
+    assert controller.queued_count == held + 1
+    assert deaf.course.phase is Phase.QUEUED
 
 
 def test_one_whose_turn_would_come_too_late_is_denied_at_once() -> None:
@@ -59,7 +60,7 @@
     plain, deaf = fill(controller, 2)[1], arrive(controller, 0.0, waited=50.0, left=1000.0, deaf=True)
     controller.now = 990.0
     assert deaf.course.value == plain.course.value
-    assert controller._worth(deaf.course) < 1.25 * deaf.course.value
+    assert controller._value_now(deaf.course) < 1.25 * deaf.course.value
 
 
 def test_a_repeat_too_old_for_its_slo_time_goes_last() -> None:
@@ -68,7 +69,7 @@
     old = arrive(controller, 0.0, waited=50.0, likely=0.9, age=1500.0)
     fresh = fill(controller, 1)[0]
     assert started(controller, ops) is fresh
-    assert old.course.place.name == "HELD"
+    assert old.course.phase is Phase.QUEUED
 
 
 def test_a_repeat_that_can_earn_nothing_is_denied_on_arrival() -> None:
@@ -81,9 +82,9 @@
 @pytest.mark.parametrize("storm", [True, False])
 def test_callers_hear_a_credit_below_one_only_in_a_storm(storm: bool) -> None:
     controller, ops = stormy(storm, meaning=Meaning.CREDIT)
-    controller.unread = 5000.0
+    controller.mean_read_delay_ms = 5000.0
     for at in range(1, 60):
-        controller.unread = 5000.0
+        controller.mean_read_delay_ms = 5000.0
         controller.alarm("beat", STORM if storm else CALM, at * 100.0)
     least = min(op.value for op in of(ops, Publish))
     assert least == (0.5 if storm else 1.0)
@@ -116,7 +117,7 @@
     storm, ops = stormy(cores=4)
     for controller in (calm, storm):
         fill(controller, 60)
-    assert storm.held > calm.held
-    assert storm._wait() <= 0.8 * 1000.0
+    assert storm.queued_count > calm.queued_count
+    assert storm._queue_wait_ms() <= 0.8 * 1000.0
     refused = [op for op in ops if isinstance(op, Deny)]
-    assert len(refused) == 60 - storm.held - len(storm.running)
+    assert len(refused) == 60 - storm.queued_count - len(storm.running)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -77,14 +77,14 @@
     assert controller
     play.turn(100.0)
     (sample,) = play.commands(Sample)
-    assert controller.beats == 0
+    assert controller.samples == 0
     play.turn(104.0, Sampled(sample.tag, Gauges(0.5)))
-    assert controller.beats == 1 and play.core.alarm_due == 200.0
+    assert controller.samples == 1 and play.core.alarm_due == 200.0
     play.turn(200.0)
     play.turn(300.0)
-    assert controller.beats == 2
+    assert controller.samples == 2
     play.turn(301.0, Sampled(play.commands(Sample)[1].tag, Gauges(0.5)))
-    assert controller.beats == 2
+    assert controller.samples == 2
 
 
 def test_what_a_lost_link_leaves_in_doubt_is_settled_after_the_missed_notices() -> None:
@@ -176,7 +176,12 @@
     play = Play(greeted=False)
     play.turn(1000.0, Greeted(True, 600.0))
     controller = play.core.controller
-    assert controller and controller.born == 400.0 and controller.cold_from == 0.2 and play.health == [True]
+    assert (
+        controller
+        and controller.machine_started_at == 400.0
+        and controller.initial_warmth == 0.2
+        and play.health == [True]
+    )
 
 
 def test_a_caller_that_left_gets_no_answer_and_its_run_is_stopped() -> None:
@@ -268,7 +273,7 @@
     play.turn(9.0, RunEnded("aa", Outcome.OK, 9.0, b""))
     del ex
     assert play.core.controller
-    play.core.controller.dues.clear()
+    play.core.controller.timers.clear()
     gc.disable()
     try:
         assert course() is None
@@ -333,7 +338,7 @@
     # cc never left, so it runs now; bb may have had its effect, so its repeat does not run.
     assert [c.ident for c in play.commands(Launch)] == ["aa", "bb", "cc"] and "dd" not in play.core.table
     controller = play.core.controller
-    assert controller and controller.born == 280.0 and controller.warmth() < 0.25
+    assert controller and controller.machine_started_at == 280.0 and controller.warmth() < 0.25
 
 
 def test_reads_of_the_same_share_a_result_while_it_is_fresh() -> None:
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -262,7 +262,7 @@
     assert play.commands(Deliver) == [Deliver("aa", b"result")]
     play.turn(60.0, RunEnded("aa", Outcome.OK, 60.0, b"done"))
     assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.table
-    assert play.core.controller and play.core.controller.calls == 0
+    assert play.core.controller and play.core.controller.calls_in_flight == 0
 
 
 @pytest.mark.parametrize(("kind", "calls"), [(Kind.REPEATABLE, 2), (Kind.MUTATING, 1)])
@@ -376,25 +376,25 @@
     play = Calls(kind)
     controller = play.core.controller
     assert controller
-    controller.calls_at_most = 1.0
+    controller.max_calls = 1.0
     if place == "parked":
         play.ask("zz", 0.0)
         play.turn(1.0, AtCall("zz", b"q"))
     ticket = play.ask("aa", 0.0)
     play.turn(1.0, AtCall("aa", b"q"))
     made = len([one for one in play.asked if isinstance(one, Call)])
-    assert len(controller.parked) == (place == "parked") and made == 1
+    assert len(controller.waiting_for_call) == (place == "parked") and made == 1
     if left:
         play.turn(2.0, CallersLeft([ticket]))
     play.turn(3.0, RunEnded("aa", outcome, 3.0, b"r"))
     play.turn(4.0, CallEnded("aa", Outcome.OK, b"late"))
-    assert "aa" not in play.core.table and not controller.parked
+    assert "aa" not in play.core.table and not controller.waiting_for_call
     assert [one for one in play.asked if isinstance(one, Call)][made:] == []
     assert len(play.answers) == (not left)
     if place == "parked":
         play.turn(5.0, CallEnded("zz", Outcome.OK, b"r"), RunEnded("zz", Outcome.OK, 5.0, b"r"))
     play.turn(900.0)  # what was left may stay with the layer for a while
-    assert controller.calls == 0 and not controller.running
+    assert controller.calls_in_flight == 0 and not controller.running
 
 
 def test_a_machine_that_begins_anew_under_a_call_ends_it_too() -> None:
@@ -404,7 +404,7 @@
     play.turn(70.0, Greeted(True, 5.0, anew=True))
     play.turn(900.0, CallEnded("aa", Outcome.OK, b"late"))
     assert [a.ticket.ident for a in play.answers] == ["aa"] and play.asked[-1] == Abandon("aa")
-    assert not play.core.table and play.core.controller and play.core.controller.calls == 0
+    assert not play.core.table and play.core.controller and play.core.controller.calls_in_flight == 0
 
 
 def test_a_call_that_the_settings_do_not_know_of_ends_nothing() -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -143,7 +143,7 @@
 def test_turned_off_in_the_middle_of_a_storm_it_ends_and_every_exchange_is_answered() -> None:
     play = stormy()
     assert play.core.controller is not None
-    play.core.controller.storm = True
+    play.core.controller.is_retry_storm = True
     for i in range(40):
         play.ask(f"{i:016x}", 1.0, caller=i, wait=2500.0)
     play.turn(10.0, Adopt(None))
@@ -151,7 +151,7 @@
         play.turn(at * 100.0)
         play.core.controller.alarm("beat", Gauges(1.0, 6.0, 0.1, 1.0), at * 100.0)
     assert play.core.repeats is None
-    assert not play.core.controller.storm
+    assert not play.core.controller.is_retry_storm
     assert len(play.answers) == len({a.ticket.ident for a in play.answers}) == 40
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -87,4 +87,4 @@
         if call % 10 == 0:
             one.event(Fields({"msg": "fired", "name": "beat"}, "fired"), call * 10.0)
     assert one.repeats.tide(4000.0).share == pytest.approx(0.45, abs=0.1)
-    assert one.controller.storm
+    assert one.controller.is_retry_storm
