--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -18,7 +18,7 @@
 from myrtlecrank.policy import interface
 from myrtlecrank.policy.endpoint_group import EndpointGroupState
 from myrtlecrank.policy.exchange_state import CALL_PHASES, ExchangeState, Flow, Phase, ResumeReason, WaitPoint
-from myrtlecrank.policy.interface import Below, Exchange, Halting, Kind, Meaning, Outcome
+from myrtlecrank.policy.interface import Below, Cancellation, Exchange, Kind, Outcome, PublishedValueKind
 
 NEVER = float("inf")
 LONGEST_READ_DELAY_MS = 1e9  # a least delay beyond this stands for a window without arrivals
@@ -118,7 +118,7 @@
     Its public methods are the events; none of them does I/O or reads a clock.
     """
 
-    def __init__(self, facts: interface.StartFacts, perform: interface.Do, now: float) -> None:
+    def __init__(self, facts: interface.StartFacts, perform: interface.OperationHandler, now: float) -> None:
         self.perform = perform
         self.now = now
         self.random_fraction = random.Random(facts.seed).random
@@ -137,33 +137,38 @@
         # What the backend has and survives
         self.cores = facts.cores
         self.memory_kb = facts.memory_kb
-        self.run_weight = facts.run_weight
+        self.running_memory_multiple = facts.running_memory_multiple
         self.key_kb = facts.key_kb
-        self.share_for = facts.share_for
-        self.drain_grace = facts.drain_grace
-        self.warm_concurrency_per_core = 1.0 + (facts.crowd_per_core - 1.0) * USABLE_CONCURRENCY_FRACTION
-        self.cold_warmth = facts.cold_from
-        self.warm_within = facts.warm_within
+        self.shared_result_lifetime_ms = facts.share_for
+        self.drain_grace_ms = facts.drain_grace
+        self.warm_concurrency_per_core = (
+            1.0 + (facts.survivable_concurrency_per_core - 1.0) * USABLE_CONCURRENCY_FRACTION
+        )
+        self.cold_capacity = facts.cold_capacity
+        self.warm_up_time_ms = facts.warm_up_time
         self.machine_began(facts.cold, now)
-        self.answer_margin_ms = SAMPLE_INTERVAL_MS + 2.0 * facts.tick  # answers go out this long before due
-        self.can_cancel = facts.halting is not Halting.NONE
+        self.answer_margin_ms = (
+            SAMPLE_INTERVAL_MS + 2.0 * facts.clock_granularity
+        )  # answers go out this long before due
+        self.can_cancel = facts.cancellation is not Cancellation.NONE
 
         # Advice to callers
-        self.meaning = facts.meaning
-        self.max_retry_after_ms = facts.wait_limit
+        self.published_value_kind = facts.published_value_kind
+        self.max_retry_after_ms = facts.max_retry_after
         # Callers kept away longer forget the published value, and the first to come back bring a burst.
-        self.max_spread_retry_after_ms = min(facts.wait_limit, RETRY_AFTER_OF_LIFETIME * facts.heeded)
+        self.max_spread_retry_after_ms = min(
+            facts.max_retry_after, RETRY_AFTER_OF_LIFETIME * facts.published_value_lifetime
+        )
 
         # Calls to the dependency
         self.max_calls = 0.0
         if facts.below is Below.SHARED:
-            self.max_calls = facts.calls_share
+            self.max_calls = facts.call_limit
         elif facts.below is Below.TIER:
             self.max_calls = float(CALLS_PER_CORE * facts.cores)
-        self.calls_window_ms = max(1.0, facts.calls_over)
-        self.abandoned_call_ms = (
-            facts.call_lingers
-        )  # how long a call still counts after its timeout or its run
+        self.calls_window_ms = max(1.0, facts.call_limit_window)
+        # How long a call still counts after its timeout, or after the end of its run
+        self.abandoned_call_ms = facts.abandoned_call_time
         self.calls_in_flight = 0
         self.mean_calls_in_flight = 0.0
         self.calls_averaged_at = now
@@ -215,12 +220,16 @@
         self.drain_ends_at = NEVER  # from then on no arrival runs
 
         # The published value: high openness asks for more traffic, whatever the value's meaning.
-        max_openness = {Meaning.CREDIT: CREDIT_PER_CORE * self.cores, Meaning.WEIGHT: 1.0, Meaning.LEVEL: 1.0}
-        self.openness = max_openness.get(self.meaning, 0.0)
+        max_openness = {
+            PublishedValueKind.CREDIT: CREDIT_PER_CORE * self.cores,
+            PublishedValueKind.WEIGHT: 1.0,
+            PublishedValueKind.LEVEL: 1.0,
+        }
+        self.openness = max_openness.get(self.published_value_kind, 0.0)
         self.max_openness = self.openness
         # Callers that hear too little forget the value and come all at once, so it never falls to nothing.
-        min_openness = {Meaning.CREDIT: MIN_CREDIT, Meaning.WEIGHT: MIN_WEIGHT}
-        self.min_openness = min_openness.get(self.meaning, MIN_OPENNESS)
+        min_openness = {PublishedValueKind.CREDIT: MIN_CREDIT, PublishedValueKind.WEIGHT: MIN_WEIGHT}
+        self.min_openness = min_openness.get(self.published_value_kind, MIN_OPENNESS)
         self.published_value = -1.0
 
         self.idle_timeout_ms = facts.idle
@@ -235,19 +244,21 @@
     def _exchange_flow(self, state: ExchangeState) -> Flow:
         """Takes an exchange from its arrival to its one answer; what it must wait for resumes it."""
         exchange, group = state.exchange, state.group
-        if exchange.earlier is not None and (group.kind is Kind.DEDUPLICATED or self.share_for > 0):
+        if exchange.earlier is not None and (
+            group.kind is Kind.DEDUPLICATED or self.shared_result_lifetime_ms > 0
+        ):
             return (yield from self._original_flow(state))
         if self._is_rejected(state):
             return (yield self._denial(state))
         if group.kind is Kind.DEDUPLICATED:
-            yield self._cache_result(state, group.window)
+            yield self._cache_result(state, group.deduplication_window)
         resumed_by = yield WaitPoint.QUEUE_TURN
         if resumed_by is not ResumeReason.CAPACITY_FREE:
             if group.kind is Kind.DEDUPLICATED:
                 yield interface.Erase(exchange)
             return (yield self._denial(state))
-        if state.is_repeatable and self.share_for > 0 and exchange.keyed:
-            yield self._cache_result(state, self.share_for + 2.0 * group.mean_run_ms)
+        if state.is_repeatable and self.shared_result_lifetime_ms > 0 and exchange.keyed:
+            yield self._cache_result(state, self.shared_result_lifetime_ms + 2.0 * group.mean_run_ms)
         resumed_by = yield interface.Start(exchange)
         while resumed_by is ResumeReason.REACHED_CALL:
             resumed_by = yield from self._call_flow(state)
@@ -273,7 +284,7 @@
                 return resumed_by
             if not (state.is_repeatable or resumed_by in PROVEN_UNRUN):
                 break
-        if state.group.benefit_without > 0:
+        if state.group.benefit_without_call > 0:
             return (yield interface.Skip(state.exchange))
         return ResumeReason.TOO_LATE
 
@@ -320,7 +331,7 @@
             state.started_at = self.now
             self.running[state] = None
             self.starts_in_window += 1
-            self._set_memory(state, state.exchange.kb * self.run_weight)
+            self._set_memory(state, state.exchange.kb * self.running_memory_multiple)
             self._wake_at(state, state.deadline - self.answer_margin_ms)
         elif isinstance(operation, interface.Join):
             state.phase = Phase.WAITING_FOR_ORIGINAL
@@ -423,7 +434,7 @@
         """The latest start that can still earn a benefit."""
         group = state.group
         slo_from = state.first_try_at if self.is_retry_storm else state.reached_at
-        slo_end = slo_from + group.slo + group.slo_stretch * self._expected_run_ms(state)
+        slo_end = slo_from + group.slo + group.slo_work_multiple * self._expected_run_ms(state)
         earns_late = group.late_benefit > 0 or (self.is_retry_storm and state.exchange.deaf)
         answer_due = state.deadline - self.answer_margin_ms
         useful_until = answer_due if earns_late else min(slo_end, answer_due)
@@ -506,14 +517,14 @@
 
         Its cores are cold again then, and survive what cold cores do.
         """
-        self.initial_warmth = self.cold_warmth if cold else 1.0
+        self.initial_warmth = self.cold_capacity if cold else 1.0
         self.machine_started_at = born
 
     def warmth(self) -> float:
         """The capacity of the machine as a part of what it has when warm."""
         if self.initial_warmth >= 1.0:
             return 1.0
-        warm_up_fraction = (self.now - self.machine_started_at) / max(1.0, self.warm_within)
+        warm_up_fraction = (self.now - self.machine_started_at) / max(1.0, self.warm_up_time_ms)
         return min(1.0, self.initial_warmth + (1.0 - self.initial_warmth) * warm_up_fraction)
 
     def _safe_concurrency(self) -> float:
@@ -538,7 +549,7 @@
                 group.start_credit += group.queue[0].value / total_value
             chosen = max(waiting, key=lambda group: group.start_credit)
             state = max(chosen.queue, key=self._value_now)
-            extra_kb = state.exchange.kb * (self.run_weight - 1.0)
+            extra_kb = state.exchange.kb * (self.running_memory_multiple - 1.0)
             lacks_memory = self.used_kb + extra_kb > USABLE_MEMORY_FRACTION * self.memory_kb
             if lacks_memory and self.running:
                 return
@@ -681,7 +692,7 @@
         self.now = now
         self.stop_at = now + left
         self.drain_ends_at = min(
-            now + self.drain_grace - self.answer_margin_ms, self.stop_at - 2.0 * self.answer_margin_ms
+            now + self.drain_grace_ms - self.answer_margin_ms, self.stop_at - 2.0 * self.answer_margin_ms
         )
         self.perform(interface.Health(False, True))
         return self.drain_ends_at
@@ -849,13 +860,13 @@
         """Lowers the published value while exchanges wait, unread or queued; raises it again otherwise."""
         wait_ms = self._queue_wait_ms() + self.mean_read_delay_ms
         strain = wait_ms / (NEUTRAL_WAIT_OF_SLO * self.shortest_slo)
-        if self.meaning is Meaning.NONE:
+        if self.published_value_kind is PublishedValueKind.NONE:
             return
         if strain > 1.0:
             self.openness *= 1.0 - FALL_PER_STRAIN * min(MAX_STRAIN, strain - 1.0)
         else:
             self.openness *= 1.0 + RECOVERY_PER_STRAIN * (1.0 - strain)
-        if self.meaning is Meaning.CREDIT and self.peak_in_progress:
+        if self.published_value_kind is PublishedValueKind.CREDIT and self.peak_in_progress:
             # Beyond what was in progress a credit binds nobody, and would take seconds to fall to that.
             # While nothing arrives it stays: otherwise the first to come would find too little.
             in_progress = (
@@ -864,13 +875,15 @@
             self.openness = min(self.openness, CREDIT_HEADROOM + in_progress)
             self.peak_in_progress = 0
         storm_multiple = (
-            STORM_CREDIT_MULTIPLE if self.is_retry_storm and self.meaning is Meaning.CREDIT else 1.0
+            STORM_CREDIT_MULTIPLE
+            if self.is_retry_storm and self.published_value_kind is PublishedValueKind.CREDIT
+            else 1.0
         )
         # Reading costs a cold backend several times as much: it asks for its part of the traffic only.
         most = min(self.max_openness * self.warmth(), self.openness)
         self.openness = max(self.min_openness * storm_multiple, most)
         value = 0.0 if self.now > self.drain_ends_at else self.openness
-        if self.meaning is Meaning.LEVEL:
+        if self.published_value_kind is PublishedValueKind.LEVEL:
             value = 1.0 - value
         if abs(value - self.published_value) > PUBLISH_CHANGE_FRACTION * self.published_value:
             self.published_value = value
--- a/myrtlecrank/policy/endpoint_group.py
+++ b/myrtlecrank/policy/endpoint_group.py
@@ -24,11 +24,11 @@
         self.kind = facts.kind
         self.benefit = facts.benefit
         self.late_benefit = facts.late_benefit
-        self.benefit_without = facts.benefit_without
+        self.benefit_without_call = facts.benefit_without_call
         self.slo = facts.slo
-        self.slo_stretch = facts.slo_stretch
+        self.slo_work_multiple = facts.slo_work_multiple
         self.timeout = facts.timeout
-        self.window = facts.window
+        self.deduplication_window = facts.deduplication_window
 
         self.queue: list[ExchangeState] = []
         self.start_credit = 0.0  # starts that the group is owed, carried over
--- a/myrtlecrank/policy/interface.py
+++ b/myrtlecrank/policy/interface.py
@@ -1,7 +1,7 @@
-"""The interface of the decision module: types only. All times are milliseconds with fractions.
+"""The interface of the controller: types only. All times are milliseconds with fractions.
 
-A host builds one Controller for each backend from its StartFacts and a `do` function, hands it events by
-calling its methods, and carries out the operations that it passes to `do`, in that order.
+A host builds one Controller for each backend from its StartFacts and a function that carries out operations.
+It calls the controller's methods for events, and carries out the operations in the order in which they come.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 class Kind(Enum):
     """How often an exchange may take effect."""
 
-    REPEATABLE = "repeatable"
-    DEDUPLICATED = "deduplicated"
-    MUTATING = "mutating"
+    REPEATABLE = "repeatable"  # as often as it runs
+    DEDUPLICATED = "deduplicated"  # once for each key, however often it is tried
+    MUTATING = "mutating"  # once, and nothing recognises a retry
 
 
-class Halting(Enum):
-    """What stopping a running exchange does."""
+class Cancellation(Enum):
+    """What the cancellation of a running exchange does to its run."""
 
     NONE = "none"
     DROP = "drop"
@@ -29,51 +29,55 @@
 
 
 class Below(Enum):
-    """What the exchanges of this backend call."""
+    """What dependency the exchanges of this backend call."""
 
     NONE = "none"
-    SHARED = "shared"
-    TIER = "tier"
+    SHARED = "shared"  # one that all backends share; each has its part of it
+    TIER = "tier"  # another tier of backends
 
 
-class Meaning(Enum):
+class PublishedValueKind(Enum):
     """How callers read the published value."""
 
     NONE = "none"
-    LEVEL = "level"
-    CREDIT = "credit"
-    WEIGHT = "weight"
+    LEVEL = "level"  # the higher, the less they should send: 0 admits all
+    CREDIT = "credit"  # how many exchanges a caller may have in progress here
+    WEIGHT = "weight"  # the part of its usual traffic that this backend wants: 1 is all
 
 
 class Outcome(Enum):
-    """How a run or a call ended."""
+    """How a run or a call to the dependency ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the dependency rejected the call before it began
     TIMEOUT = "timeout"
-    UNREACHED = "unreached"
-    RESET = "reset"
+    UNREACHED = "unreached"  # the command or the call was never delivered
+    RESET = "reset"  # the connection broke: the outcome is unknown
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # the start had no effect: nothing ran
 
 
 @dataclass(slots=True)
 class EndpointGroup:
+    """Exchanges with the same effect, limits in time and benefit."""
+
     name: str
     kind: Kind
-    slo: float
+    slo: float  # SLO time
     timeout: float
     benefit: float
     late_benefit: float  # share of the benefit that an answer after the SLO time earns
-    window: float  # how long a repeat of a deduplicated exchange may arrive
-    slo_stretch: float = 0.0  # multiple of the exchange's own work added to its SLO time
-    calls: bool = False
-    benefit_without: float = 0.0  # share of the benefit left when a call is skipped
+    deduplication_window: float  # how long a retry of a deduplicated exchange may arrive
+    slo_work_multiple: float = 0.0  # multiple of the exchange's own work added to its SLO time
+    may_call: bool = False  # its exchanges may call the dependency
+    benefit_without_call: float = 0.0  # share of the benefit left when the call is skipped
 
 
 @dataclass(slots=True)
 class Tenant:
+    """A tenant of the fleet and its allowance."""
+
     name: str
     share: float
     per_second: float  # allowance over the whole fleet
@@ -81,146 +85,176 @@
 
 @dataclass(slots=True)
 class StartFacts:
+    """What a controller is told at its start about its backend, the fleet and the callers."""
+
     seed: int
     groups: list[EndpointGroup]
     cores: int
     memory_kb: float
-    run_weight: float  # memory of a running exchange over that of a held one
-    key_kb: float
-    crowd_per_core: float  # running exchanges on the cores, per core, that a warm backend survives
-    crowd_over: float
+    running_memory_multiple: float  # memory of a running exchange over that of a queued one
+    key_kb: float  # memory of the key of a cached result
+    survivable_concurrency_per_core: float  # exchanges on the cores, per core, that a warm backend survives
+    survivable_concurrency_window: float  # time over which that concurrency counts
     cold: bool
-    cold_from: float
-    warm_within: float
-    drain_grace: float
+    cold_capacity: float  # capacity of a cold machine, as a part of that of a warm one
+    warm_up_time: float
+    drain_grace: float  # drain grace period: arrivals may run until then
     answer_slack: float
-    tick: float
+    clock_granularity: float
     backends: int = 1
     callers: int = 1
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_benefit: float = 1.0
-    benefit_by_work: bool = False
-    halting: Halting = Halting.NONE
-    meaning: Meaning = Meaning.NONE
-    heeded: float = 1000.0
-    wait_limit: float = 0.0  # the longest advice to stay away that callers keep; 0: it is not passed on
-    tells_left: bool = True
-    tells_retry: bool = False
-    tells_gone: bool = False  # callers that give up say so
+    over_share_benefit: float = 1.0  # share of the benefit beyond a tenant's allowance
+    benefit_by_work: bool = False  # the benefit counts for each ms of work, not for each exchange
+    cancellation: Cancellation = Cancellation.NONE
+    published_value_kind: PublishedValueKind = PublishedValueKind.NONE
+    published_value_lifetime: float = 1000.0  # how long callers remember the published value
+    max_retry_after: float = 0.0  # the longest advised wait that callers follow; 0: it is not passed on
+    tells_left: bool = True  # callers send how long they still wait
+    marks_retries: bool = False
+    tells_gone: bool = False  # callers that abandon an exchange say so
     below: Below = Below.NONE
-    calls_share: float = 0.0
-    calls_over: float = 0.0
-    call_lingers: float = 0.0
-    share_for: float = 0.0  # how long the answer of a read may serve others
+    call_limit: float = 0.0  # calls in flight that this backend may have at a shared dependency, on average
+    call_limit_window: float = 0.0  # time over which that average is taken
+    abandoned_call_time: float = 0.0  # how long a call that is no longer awaited occupies the dependency
+    share_for: float = 0.0  # how long the answer of a read may serve other exchanges
     deep_checks: bool = False
     idle: float = 0.0  # callers close connections that idle this long
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One arrival as the backend read it; `course` is the controller's own."""
+    """One arrival as the backend read it."""
 
     group: int
-    left: float | None  # time until the caller gives up, None where it is not told
-    waited: float  # since it reached the machine
-    kb: float
+    left: float | None  # time until the caller abandons it, None where callers do not send it
+    waited: float  # time from when it reached the machine until it was read
+    kb: float  # memory
     caller: int = 0
     tenant: int = 0
     rank: float = 0.0
-    retry: bool = False
+    is_marked_retry: bool = False
     keyed: bool = False  # names what it is about, so that reads of the same may share an answer
-    work_hint: float = 0.0
-    likely: float = 0.0  # how likely it repeats one that was given up; 0 where nothing is known
-    age: float = 0.0  # how long before this try its first one came, where it is likely a repeat
-    deaf: bool = False  # its caller was seen to heed neither published value nor advice
-    earlier: Exchange | None = None
-    course: Any = None
+    work_hint: float = 0.0  # expected work; 0 where there is no hint
+    likely: float = 0.0  # probability that it retries an abandoned exchange; 0 where nothing is known
+    age: float = 0.0  # how long before this try the first one came, where it is likely a retry
+    deaf: bool = False  # its caller was seen to ignore both published value and advised waits
+    earlier: Exchange | None = None  # the exchange that it retries
+    course: Any = None  # the controller's own state
 
 
 @dataclass(slots=True)
 class Gauges:
-    """Each is None where the backend does not measure it."""
+    """One sample of the machine; a gauge is None where the backend does not measure it."""
 
-    cpu: float | None = None
-    on_cores: float | None = None
-    memory: float | None = None
+    cpu: float | None = None  # part of the CPU time in use
+    on_cores: float | None = None  # tasks on the cores: runs, reads and handshakes
+    memory: float | None = None  # part of the memory in use
     connections: float | None = None
-    storm: bool = False  # much of what arrives is likely repeats
+    storm: bool = False  # a retry storm: a large share of the arrivals are likely retries
 
 
 @dataclass(slots=True)
 class Start:
-    ex: Exchange
+    """Run the exchange."""
+
+    exchange: Exchange
 
 
 @dataclass(slots=True)
 class Halt:
-    ex: Exchange
+    """Cancel the run of the exchange."""
+
+    exchange: Exchange
 
 
 @dataclass(slots=True)
 class Deny:
-    ex: Exchange
-    last: bool = False  # not to be tried elsewhere
-    wait: float = 0.0  # how long the caller should stay away from this backend
+    """Answer the caller that the exchange was denied and has not run, or may be run again without harm."""
+
+    exchange: Exchange
+    is_final: bool = False  # the caller should not try another backend
+    retry_after: float = 0.0  # how long the caller should stay away from this backend
 
 
 @dataclass(slots=True)
 class Fail:
-    ex: Exchange
+    """Answer the caller that the exchange was terminated."""
+
+    exchange: Exchange
 
 
 @dataclass(slots=True)
 class Call:
-    ex: Exchange
+    """Send the call to the dependency at which the run stands."""
+
+    exchange: Exchange
     timeout: float
 
 
 @dataclass(slots=True)
 class Skip:
-    ex: Exchange
+    """Let the run go on without its call."""
+
+    exchange: Exchange
 
 
 @dataclass(slots=True)
 class Retain:
-    ex: Exchange
-    span: float
+    """Cache the result of the exchange for its retries."""
+
+    exchange: Exchange
+    duration: float
 
 
 @dataclass(slots=True)
 class Erase:
-    ex: Exchange
+    """Evict the entry of an exchange that never ran from the cache of results."""
+
+    exchange: Exchange
 
 
 @dataclass(slots=True)
 class Join:
-    ex: Exchange
+    """Give the exchange the outcome of the one that it retries, once that is known."""
+
+    exchange: Exchange
 
 
 @dataclass(slots=True)
 class Health:
-    on: bool
-    stored: bool
+    """Answer health checks from now on with this."""
+
+    is_healthy: bool
+    shallow: bool  # health checks are answered from the stored state
 
 
 @dataclass(slots=True)
 class Publish:
+    """Tell callers this value from now on."""
+
     value: float
 
 
 @dataclass(slots=True)
 class IdleLimit:
-    span: float
+    """Close connections that idle this long."""
+
+    timeout: float
 
 
 @dataclass(slots=True)
 class Alarm:
+    """Call Controller.alarm() after the delay."""
+
     name: str
     delay: float
 
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
@@ -240,4 +274,4 @@
     | Alarm
     | Log
 )
-Do = Callable[[Operation], None]
+OperationHandler = Callable[[Operation], None]
--- a/myrtlecrank/settings.py
+++ b/myrtlecrank/settings.py
@@ -12,13 +12,17 @@
     "idempotency_key": interface.Kind.DEDUPLICATED,
     "non_idempotent": interface.Kind.MUTATING,
 }
-HALTING = {"silent": interface.Halting.NONE, "drop": interface.Halting.DROP, "pause": interface.Halting.PAUSE}
+HALTING = {
+    "silent": interface.Cancellation.NONE,
+    "drop": interface.Cancellation.DROP,
+    "pause": interface.Cancellation.PAUSE,
+}
 BELOW = {"silent": interface.Below.NONE, "common": interface.Below.SHARED, "next_hop": interface.Below.TIER}
 MEANINGS = {
-    "silent": interface.Meaning.NONE,
-    "min_rank": interface.Meaning.LEVEL,
-    "tokens": interface.Meaning.CREDIT,
-    "bias": interface.Meaning.WEIGHT,
+    "silent": interface.PublishedValueKind.NONE,
+    "min_rank": interface.PublishedValueKind.LEVEL,
+    "tokens": interface.PublishedValueKind.CREDIT,
+    "bias": interface.PublishedValueKind.WEIGHT,
 }
 GAUGES = {"core_use": "cpu", "on_cores": "on_cores", "heap_share": "memory", "links": "connections"}
 
@@ -77,7 +81,7 @@
             raise FieldError(f"{self.where}: the field {key!r} has no known value: {value!r}") from None
 
 
-def _group(fields: Fields, calls: bool, benefit_without: float) -> interface.EndpointGroup:
+def _group(fields: Fields, may_call: bool, benefit_without_call: float) -> interface.EndpointGroup:
     return interface.EndpointGroup(
         name=fields.text("name", ""),
         kind=fields.choice("effect", KINDS),
@@ -85,10 +89,10 @@
         timeout=fields.ms("deadline"),
         benefit=fields.number("worth", 1.0),
         late_benefit=fields.number("lateWorth", 0.0),
-        window=fields.ms("dedupWindow", 0.0),
-        slo_stretch=fields.number("aimStretch", 0.0),
-        calls=calls,
-        benefit_without=benefit_without,
+        deduplication_window=fields.ms("dedupWindow", 0.0),
+        slo_work_multiple=fields.number("aimStretch", 0.0),
+        may_call=may_call,
+        benefit_without_call=benefit_without_call,
     )
 
 
@@ -113,16 +117,16 @@
         groups=groups,
         cores=domain.integer("cores"),
         memory_kb=domain.number("memoryKb"),
-        run_weight=domain.number("blowup", 1.0),
+        running_memory_multiple=domain.number("blowup", 1.0),
         key_kb=domain.number("keyKb", 0.0),
-        crowd_per_core=rules.number("fallMultiple"),
-        crowd_over=rules.ms("fall"),
+        survivable_concurrency_per_core=rules.number("fallMultiple"),
+        survivable_concurrency_window=rules.ms("fall"),
         cold=domain.flag("freshStart", False),
-        cold_from=rules.number("coldFrom", 1.0),
-        warm_within=rules.ms("warmWithin", 0.0),
+        cold_capacity=rules.number("coldFrom", 1.0),
+        warm_up_time=rules.ms("warmWithin", 0.0),
         drain_grace=rules.ms("stopSendingWithin", 0.0),
         answer_slack=rules.ms("answerSlack", 0.0),
-        tick=conf.ms("granularity", 0.0),
+        clock_granularity=conf.ms("granularity", 0.0),
         backends=conf.integer("replicasOfMe", 1),
         callers=domain.integer("upstreams", 1),
         tenants=[
@@ -131,17 +135,17 @@
         ],
         over_share_benefit=conf.number("overShareWorth", 1.0),
         benefit_by_work=conf.text("worthBy", "request") == "work",
-        halting=domain.choice("halt", HALTING, interface.Halting.NONE),
-        meaning=domain.choice("signal", MEANINGS, interface.Meaning.NONE),
-        heeded=domain.ms("heeded", 1_000_000.0),
-        wait_limit=bounds.ms("maxRetryAfter", 0.0) if bounds.flag("retryAfter", False) else 0.0,
+        cancellation=domain.choice("halt", HALTING, interface.Cancellation.NONE),
+        published_value_kind=domain.choice("signal", MEANINGS, interface.PublishedValueKind.NONE),
+        published_value_lifetime=domain.ms("heeded", 1_000_000.0),
+        max_retry_after=bounds.ms("maxRetryAfter", 0.0) if bounds.flag("retryAfter", False) else 0.0,
         tells_left=domain.flag("passesDeadline", True),
-        tells_retry=conf.inner("clients", {}).flag("marksRetry", False),
+        marks_retries=conf.inner("clients", {}).flag("marksRetry", False),
         tells_gone=domain.flag("hangupSeen", False),
         below=domain.choice("downstream", BELOW, interface.Below.NONE),
-        calls_share=domain.number("depShare", 0.0),
-        calls_over=domain.ms("depWindow", 0.0),
-        call_lingers=domain.ms("staysFor", 0.0),
+        call_limit=domain.number("depShare", 0.0),
+        call_limit_window=domain.ms("depWindow", 0.0),
+        abandoned_call_time=domain.ms("staysFor", 0.0),
         share_for=domain.ms("shareFor", 0.0),
         deep_checks=domain.flag("deepChecks", False),
         idle=domain.ms("idle", 0.0),
--- a/myrtlecrank/simulator_adapter/host.py
+++ b/myrtlecrank/simulator_adapter/host.py
@@ -23,7 +23,7 @@
         self.number = number
         self.tells_left = facts.tells_left
         self.groups, self.tenants = len(facts.groups), len(facts.tenants)
-        longest = max((g.timeout + g.window for g in facts.groups), default=0.0)
+        longest = max((g.timeout + g.deduplication_window for g in facts.groups), default=0.0)
         self.remembered_for = 2.0 * longest + facts.share_for
         self.exchanges: dict[int, interface.Exchange] = {}
         self.ids: dict[interface.Exchange, int] = {}
@@ -41,8 +41,8 @@
         if isinstance(op, interface.Publish):
             self.credit = op.value
         elif isinstance(op, interface.Deny | interface.Fail):
-            wait = op.wait if isinstance(op, interface.Deny) else 0.0
-            exchange_marks.answered(self.repeats, op.ex, b"", True, wait, self.credit, self.now)
+            wait = op.retry_after if isinstance(op, interface.Deny) else 0.0
+            exchange_marks.answered(self.repeats, op.exchange, b"", True, wait, self.credit, self.now)
         self.replies.append(protocol.action(op, self.number, self.ids.__getitem__))
 
     def forget_old(self, now: float) -> None:
--- a/myrtlecrank/simulator_adapter/protocol.py
+++ b/myrtlecrank/simulator_adapter/protocol.py
@@ -50,7 +50,7 @@
         caller=event.integer("originPeer", 0),
         tenant=tenant,
         rank=event.number("prio", 0.0),
-        retry=event.flag("repeat", False),
+        is_marked_retry=event.flag("repeat", False),
         keyed=bool(event.text("object", "")),
         work_hint=event.ms("sizeHint", 0.0),
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 
 def group(kind: interface.Kind = interface.Kind.REPEATABLE, **facts: Any) -> interface.EndpointGroup:
     values: dict[str, Any] = {"slo": 1000.0, "timeout": 4000.0, "benefit": 1.0, "late_benefit": 0.2}
-    values["window"] = 5000.0
+    values["deduplication_window"] = 5000.0
     return interface.EndpointGroup("group", kind, **(values | facts))
 
 
@@ -28,18 +28,18 @@
     "seed": 1,
     "cores": 4,
     "memory_kb": 10_000.0,
-    "run_weight": 10.0,
+    "running_memory_multiple": 10.0,
     "key_kb": 1.0,
-    "crowd_per_core": 5.0,
-    "crowd_over": 2000.0,
+    "survivable_concurrency_per_core": 5.0,
+    "survivable_concurrency_window": 2000.0,
     "cold": False,
-    "cold_from": 0.2,
-    "warm_within": 10_000.0,
+    "cold_capacity": 0.2,
+    "warm_up_time": 10_000.0,
     "drain_grace": 1000.0,
     "answer_slack": 60.0,
-    "tick": 2.0,
-    "halting": interface.Halting.DROP,
-    "wait_limit": 1000.0,
+    "clock_granularity": 2.0,
+    "cancellation": interface.Cancellation.DROP,
+    "max_retry_after": 1000.0,
 }
 
 
@@ -55,7 +55,7 @@
 
 
 def of(ops: list[Any], kind: type, ex: interface.Exchange | None = None) -> list[Any]:
-    return [op for op in ops if isinstance(op, kind) and (ex is None or op.ex is ex)]
+    return [op for op in ops if isinstance(op, kind) and (ex is None or op.exchange is ex)]
 
 
 def answers(ops: list[Any], ex: interface.Exchange) -> list[Any]:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -12,19 +12,19 @@
 from myrtlecrank.policy.interface import (
     Below,
     Call,
+    Cancellation,
     Deny,
     Exchange,
     Fail,
     Gauges,
     Halt,
-    Halting,
     Health,
     IdleLimit,
     Join,
     Kind,
-    Meaning,
     Outcome,
     Publish,
+    PublishedValueKind,
     Retain,
     Skip,
     Start,
@@ -49,15 +49,15 @@
 # Rule 1: one answer in time
 
 
-@pytest.mark.parametrize("halting", list(Halting))
-def test_running_work_is_answered_before_it_is_due(halting: Halting) -> None:
-    controller, ops = backend(halting=halting)
+@pytest.mark.parametrize("cancellation", list(Cancellation))
+def test_running_work_is_answered_before_it_is_due(cancellation: Cancellation) -> None:
+    controller, ops = backend(cancellation=cancellation)
     ex = arrive(controller, 0.0)
     controller.settle(3800.0)
     assert not answers(ops, ex)
     controller.settle(3900.0)
     assert len(answers(ops, ex)) == 1
-    assert len(of(ops, Halt, ex)) == (halting is not Halting.NONE)
+    assert len(of(ops, Halt, ex)) == (cancellation is not Cancellation.NONE)
     controller.finished(ex, Outcome.CANCELLED, 3900.0, 3901.0)
     assert controller.used_kb == 0.0 and len(answers(ops, ex)) == 1
 
@@ -115,7 +115,7 @@
 def test_a_repeat_joins_and_is_never_denied() -> None:
     controller, ops = backend(group(Kind.DEDUPLICATED))
     first = arrive(controller, 0.0)
-    assert of(ops, Retain, first)[0].span == 5000.0
+    assert of(ops, Retain, first)[0].duration == 5000.0
     again = arrive(controller, 10.0, earlier=first)
     assert of(ops, Join, again) and not of(ops, Start, again)
     controller.settle(4000.0)
@@ -143,15 +143,15 @@
 
 
 def test_what_arrives_after_the_grace_does_not_run() -> None:
-    controller, ops = backend(meaning=Meaning.CREDIT)
+    controller, ops = backend(published_value_kind=PublishedValueKind.CREDIT)
     until = controller.leave(5000.0, 0.0)
-    assert of(ops, Health)[0].on is False and 800.0 < until < 1000.0
+    assert of(ops, Health)[0].is_healthy is False and 800.0 < until < 1000.0
     early, late = arrive(controller, 500.0), arrive(controller, 1200.0)
     assert of(ops, Start, early) and of(ops, Deny, late) and not of(ops, Start, late)
 
 
 def test_a_backend_that_leaves_draws_traffic_until_nothing_more_would_run() -> None:
-    controller, ops = backend(meaning=Meaning.CREDIT)
+    controller, ops = backend(published_value_kind=PublishedValueKind.CREDIT)
     until = controller.leave(5000.0, 0.0)
     for now in range(100, 1001, 100):
         controller.alarm("beat", Gauges(0.1), float(now))
@@ -160,7 +160,7 @@
 
 
 def test_a_credit_follows_the_most_in_hand_and_not_an_idle_instant() -> None:
-    controller, _ = backend(meaning=Meaning.CREDIT)
+    controller, _ = backend(published_value_kind=PublishedValueKind.CREDIT)
     controller.openness = 8.0
     for start in (10.0, 310.0):
         exes = fill(controller, 4, start)
@@ -194,7 +194,7 @@
 
 
 def test_memory_is_kept_for_all_that_is_held_and_running() -> None:
-    controller, ops = backend(memory_kb=400.0, crowd_per_core=50.0)
+    controller, ops = backend(memory_kb=400.0, survivable_concurrency_per_core=50.0)
     controller.run_limit = 50.0
     fill(controller, 20)
     assert controller.used_kb <= 400.0
@@ -218,17 +218,19 @@
 
 
 def test_calls_stay_under_the_share_also_below_one() -> None:
-    controller, ops = backend(group(calls=True), below=Below.SHARED, calls_share=0.6, calls_over=1000.0)
+    controller, ops = backend(
+        group(may_call=True), below=Below.SHARED, call_limit=0.6, call_limit_window=1000.0
+    )
     one, two = fill(controller, 2)
     controller.at_call(one, 0.0)
     controller.at_call(two, 0.0)
     controller.settle(0.0)
-    assert [op.ex for op in of(ops, Call)] == [one]
+    assert [op.exchange for op in of(ops, Call)] == [one]
     controller.call_ended(one, Outcome.OK, 900.0, 900.0)
     controller.settle(900.0)
     assert len(of(ops, Call)) == 1
     controller.settle(2000.0)
-    assert [op.ex for op in of(ops, Call)] == [one, two]
+    assert [op.exchange for op in of(ops, Call)] == [one, two]
 
 
 @pytest.mark.parametrize(
@@ -243,7 +245,7 @@
 def test_a_call_is_repeated_only_without_harm(
     kind: Kind, outcome: Outcome, without: float, expected: type
 ) -> None:
-    controller, ops = backend(group(kind, calls=True, benefit_without=without), below=Below.TIER)
+    controller, ops = backend(group(kind, may_call=True, benefit_without_call=without), below=Below.TIER)
     ex = arrive(controller, 0.0)
     controller.at_call(ex, 0.0)
     controller.settle(0.0)
@@ -263,7 +265,7 @@
     beats(controller, 0.0, 2)
     assert not of(ops, Halt)
     beats(controller, 200.0, 1)
-    assert [op.ex for op in of(ops, Halt)] == [old]
+    assert [op.exchange for op in of(ops, Halt)] == [old]
     assert of(ops, Deny, old)
 
 
@@ -303,7 +305,7 @@
     ops.clear()
     controller.run_limit = 8.0
     controller.settle(0.0)
-    assert [op.ex.group for op in of(ops, Start)].count(1) == 3 and len(of(ops, Start)) == 4
+    assert [op.exchange.group for op in of(ops, Start)].count(1) == 3 and len(of(ops, Start)) == 4
 
 
 def test_the_hold_is_longer_where_reading_is_dear() -> None:
@@ -356,7 +358,7 @@
 
 
 def test_the_published_value_falls_with_waiting_and_recovers() -> None:
-    controller, ops = backend(meaning=Meaning.WEIGHT, backends=10)
+    controller, ops = backend(published_value_kind=PublishedValueKind.WEIGHT, backends=10)
     fill(controller, 6, waited=0.0)
     controller.mean_read_delay_ms = 2000.0
     controller._publish()
@@ -370,7 +372,7 @@
 
 
 def test_the_weight_never_closes_quite() -> None:
-    controller, _ = backend(meaning=Meaning.WEIGHT, backends=10)
+    controller, _ = backend(published_value_kind=PublishedValueKind.WEIGHT, backends=10)
     controller.least_read_delay_ms, controller.mean_read_delay_ms = 0.0, 1e6
     for _ in range(100):
         controller._publish()
@@ -382,7 +384,7 @@
     controller.mean_read_delay_ms = 500.0
     controller.memory_gauge = 0.9
     fill(controller, 20)
-    waits = {op.wait for op in of(ops, Deny)}
+    waits = {op.retry_after for op in of(ops, Deny)}
     assert len(waits) == 20 and max(waits) <= 1000.0
 
 
@@ -390,12 +392,12 @@
     controller, ops = backend(group(timeout=60_000.0))
     exes = fill(controller, 4, left=60_000.0)
     now = beats(controller, 0.0, 12)
-    assert [op.on for op in of(ops, Health)] == [False]
+    assert [op.is_healthy for op in of(ops, Health)] == [False]
     for ex in exes:
         controller.finished(ex, Outcome.OK, now, now)
     controller.least_read_delay_ms = 1.0
     beats(controller, now + 6000.0, 1)
-    assert [op.on for op in of(ops, Health)] == [False, True]
+    assert [op.is_healthy for op in of(ops, Health)] == [False, True]
     assert controller.least_read_delay_ms > 1.0
 
 
@@ -403,7 +405,7 @@
     controller, ops = backend(group(timeout=60_000.0))
     fill(controller, 4, left=60_000.0)
     beats(controller, 0.0, 200)
-    assert [op.on for op in of(ops, Health)] == [False]
+    assert [op.is_healthy for op in of(ops, Health)] == [False]
 
 
 def test_one_that_reads_only_stale_arrivals_stays_away() -> None:
@@ -411,13 +413,13 @@
     controller.least_read_delay_ms = 50.0
     arrive(controller, 0.0, waited=3000.0)
     now = beats(controller, 0.0, CPU_WINDOW_SAMPLES)
-    assert [op.on for op in of(ops, Health)] == [False]
+    assert [op.is_healthy for op in of(ops, Health)] == [False]
     for _ in range(7):
         arrive(controller, now, waited=3000.0)
         now = beats(controller, now, CPU_WINDOW_SAMPLES)
-    assert [op.on for op in of(ops, Health)] == [False]
+    assert [op.is_healthy for op in of(ops, Health)] == [False]
     beats(controller, now, 2 * CPU_WINDOW_SAMPLES)
-    assert [op.on for op in of(ops, Health)] == [False, True]
+    assert [op.is_healthy for op in of(ops, Health)] == [False, True]
 
 
 def test_plain_load_is_no_sickness() -> None:
@@ -433,21 +435,21 @@
     controller, ops = backend(idle=30_000.0)
     for beat in range(1, 7):
         controller.alarm("beat", Gauges(connections=500.0), 100.0 * beat)
-    spans = [op.span for op in of(ops, IdleLimit)]
+    spans = [op.timeout for op in of(ops, IdleLimit)]
     assert len(spans) == 2 and 30_000.0 > spans[0] > spans[1]
     for beat in range(7, 60):
         controller.alarm("beat", Gauges(connections=3.0), 100.0 * beat)
-    assert of(ops, IdleLimit)[-1].span == 30_000.0
+    assert of(ops, IdleLimit)[-1].timeout == 30_000.0
 
 
 def test_denials_are_final_unless_this_backend_alone_is_to_blame() -> None:
     controller, ops = backend()
     filled = fill(controller, 40)
-    assert {op.last for op in of(ops, Deny)} == {True} and len(filled) == 40
+    assert {op.is_final for op in of(ops, Deny)} == {True} and len(filled) == 40
     ops.clear()
     controller.unhealthy_until = 1e9
     fill(controller, 20)
-    assert {op.last for op in of(ops, Deny)} == {False}
+    assert {op.is_final for op in of(ops, Deny)} == {False}
 
 
 def test_a_storm_of_handshakes_is_no_sickness() -> None:
@@ -481,7 +483,7 @@
     ops.clear()
     controller.run_limit = 2.0
     controller.settle(1.0)
-    assert [op.ex for op in of(ops, Start)] == within[:1]
+    assert [op.exchange for op in of(ops, Start)] == within[:1]
 
 
 def test_the_rate_of_a_tenant_with_a_small_share_is_taken_over_a_longer_time() -> None:
--- a/tests/test_controller_retry_storm.py
+++ b/tests/test_controller_retry_storm.py
@@ -7,7 +7,7 @@
 
 from myrtlecrank.policy.controller import Controller
 from myrtlecrank.policy.exchange_state import Phase
-from myrtlecrank.policy.interface import Deny, Exchange, Gauges, Meaning, Publish, Start
+from myrtlecrank.policy.interface import Deny, Exchange, Gauges, Publish, PublishedValueKind, Start
 
 CALM, STORM = Gauges(1.0, 6.0, 0.1, 1.0), Gauges(1.0, 6.0, 0.1, 1.0, storm=True)
 
@@ -28,7 +28,7 @@
     ops.clear()
     controller.run_limit = len(controller.running) + 1.0
     controller.settle(1.0)
-    return of(ops, Start)[0].ex
+    return of(ops, Start)[0].exchange
 
 
 def test_one_whose_denial_sheds_nothing_is_held_as_long_as_its_turn_comes_in_time() -> None:
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("storm", [True, False])
 def test_callers_hear_a_credit_below_one_only_in_a_storm(storm: bool) -> None:
-    controller, ops = stormy(storm, meaning=Meaning.CREDIT)
+    controller, ops = stormy(storm, published_value_kind=PublishedValueKind.CREDIT)
     controller.mean_read_delay_ms = 5000.0
     for at in range(1, 60):
         controller.mean_read_delay_ms = 5000.0
@@ -98,7 +98,7 @@
         arrive(told[0], i * 5.0, likely=0.9, age=700.0, deaf=True, **facts)  # type: ignore[arg-type]
 
     def story(ops: list[object]) -> list[tuple[str, float]]:
-        return [(type(op).__name__, op.ex.kb) for op in ops if hasattr(op, "ex")]
+        return [(type(op).__name__, op.exchange.kb) for op in ops if hasattr(op, "exchange")]
 
     assert story(plain[1]) == story(told[1])
 
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -245,7 +245,7 @@
     """The module's actor on a site with a layer below."""
 
     def __init__(self, kind: Kind = Kind.REPEATABLE, **others: Any) -> None:
-        super().__init__(group(kind, calls=True, **others), below=Below.TIER)
+        super().__init__(group(kind, may_call=True, **others), below=Below.TIER)
         self.asked: list[Any] = []
         self.core.below = self.asked.append
 
@@ -283,7 +283,7 @@
 
 
 def test_a_call_may_be_done_without_where_that_earns_something() -> None:
-    play = Calls(Kind.MUTATING, benefit_without=0.5)
+    play = Calls(Kind.MUTATING, benefit_without_call=0.5)
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.ERROR, b""))
     assert play.commands(Forgo) == [Forgo("aa")] and not play.answers
--- a/tests/test_keyed_exchanges.py
+++ b/tests/test_keyed_exchanges.py
@@ -26,7 +26,7 @@
 
 
 def keyed(**others: Any) -> Play:
-    return Play(group(Kind.DEDUPLICATED, window=5000.0), **({"idle": 30_000.0} | others))
+    return Play(group(Kind.DEDUPLICATED, deduplication_window=5000.0), **({"idle": 30_000.0} | others))
 
 
 def verdicts(play: Play) -> list[tuple[str, Verdict, bytes]]:
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("how", ["denied", "left", "refused"])
 def test_what_never_ran_stands_in_no_repeats_way(how: str) -> None:
-    play = keyed(cores=1, crowd_per_core=1.0)
+    play = keyed(cores=1, survivable_concurrency_per_core=1.0)
     if how != "refused":
         play.ask("zz", 0.0, about="other")  # the only one that may run
     first = play.ask("aa", 1.0, about="k", wait=300.0)
@@ -161,7 +161,7 @@
 
 
 def test_the_room_of_a_key_that_never_ran_is_free_at_once_and_given_back_once() -> None:
-    controller, ops = backend(group(Kind.DEDUPLICATED, window=5000.0), key_kb=100.0)
+    controller, ops = backend(group(Kind.DEDUPLICATED, deduplication_window=5000.0), key_kb=100.0)
     ex = arrival()
     controller.arrived(ex, 0.0)
     controller.settle(0.0)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 
 from myrtlecrank import configuration
 from myrtlecrank.log import AT_MOST, Sparing
-from myrtlecrank.policy.interface import Meaning
+from myrtlecrank.policy.interface import PublishedValueKind
 from myrtlecrank.settings import Fields
 
 GROUP = {"name": "group", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000}
@@ -57,7 +57,9 @@
 def test_a_configuration_becomes_what_the_program_uses() -> None:
     told = configuration.parse(Fields(WHOLE, "it"))
     assert told.agent == ("127.0.0.1", 7300) and told.gauges == ["connections", "", "cpu"]
-    assert told.facts.seed == 0x8C1F30D27A5BE964 and told.facts.meaning is Meaning.CREDIT
+    assert (
+        told.facts.seed == 0x8C1F30D27A5BE964 and told.facts.published_value_kind is PublishedValueKind.CREDIT
+    )
     assert told.facts.groups[0].slo == 1000.0
 
 
