--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -118,57 +118,61 @@
     Its public methods are the events; none of them does I/O or reads a clock.
     """
 
-    def __init__(self, facts: interface.StartFacts, perform: interface.OperationHandler, now: float) -> None:
+    def __init__(
+        self, settings: interface.StartFacts, perform: interface.OperationHandler, now: float
+    ) -> None:
         self.perform = perform
         self.now = now
-        self.random_fraction = random.Random(facts.seed).random
-        self.groups = [EndpointGroupState(group) for group in facts.groups]
+        self.random_fraction = random.Random(settings.seed).random
+        self.groups = [EndpointGroupState(group) for group in settings.groups]
         self.shortest_slo = min(group.slo for group in self.groups)
 
         # What this backend should get of each tenant (per ms), and what it gets
-        self.tenant_shares = [tenant.per_second / 1000.0 / max(1, facts.backends) for tenant in facts.tenants]
-        self.tenant_rates = [0.0] * len(facts.tenants)
+        self.tenant_shares = [
+            tenant.per_second / 1000.0 / max(1, settings.backends) for tenant in settings.tenants
+        ]
+        self.tenant_rates = [0.0] * len(settings.tenants)
         self.tenant_windows_ms = [
             max(TENANT_RATE_WINDOW_MS, TENANT_RATE_EVENTS / max(1e-6, share)) for share in self.tenant_shares
         ]
-        self.over_share_benefit = facts.over_share_benefit
-        self.benefit_by_work = facts.benefit_by_work
+        self.over_share_benefit = settings.over_share_benefit
+        self.benefit_by_work = settings.benefit_by_work
 
         # What the backend has and survives
-        self.cores = facts.cores
-        self.memory_kb = facts.memory_kb
-        self.running_memory_multiple = facts.running_memory_multiple
-        self.key_kb = facts.key_kb
-        self.shared_result_lifetime_ms = facts.share_for
-        self.drain_grace_ms = facts.drain_grace
+        self.cores = settings.cores
+        self.memory_kb = settings.memory_kb
+        self.running_memory_multiple = settings.running_memory_multiple
+        self.key_kb = settings.key_kb
+        self.shared_result_lifetime_ms = settings.share_for
+        self.drain_grace_ms = settings.drain_grace
         self.warm_concurrency_per_core = (
-            1.0 + (facts.survivable_concurrency_per_core - 1.0) * USABLE_CONCURRENCY_FRACTION
+            1.0 + (settings.survivable_concurrency_per_core - 1.0) * USABLE_CONCURRENCY_FRACTION
         )
-        self.cold_capacity = facts.cold_capacity
-        self.warm_up_time_ms = facts.warm_up_time
-        self.machine_began(facts.cold, now)
+        self.cold_capacity = settings.cold_capacity
+        self.warm_up_time_ms = settings.warm_up_time
+        self.machine_began(settings.cold, now)
         self.answer_margin_ms = (
-            SAMPLE_INTERVAL_MS + 2.0 * facts.clock_granularity
+            SAMPLE_INTERVAL_MS + 2.0 * settings.clock_granularity
         )  # answers go out this long before due
-        self.can_cancel = facts.cancellation is not Cancellation.NONE
+        self.can_cancel = settings.cancellation is not Cancellation.NONE
 
         # Advice to callers
-        self.published_value_kind = facts.published_value_kind
-        self.max_retry_after_ms = facts.max_retry_after
+        self.published_value_kind = settings.published_value_kind
+        self.max_retry_after_ms = settings.max_retry_after
         # Callers kept away longer forget the published value, and the first to come back bring a burst.
         self.max_spread_retry_after_ms = min(
-            facts.max_retry_after, RETRY_AFTER_OF_LIFETIME * facts.published_value_lifetime
+            settings.max_retry_after, RETRY_AFTER_OF_LIFETIME * settings.published_value_lifetime
         )
 
         # Calls to the dependency
         self.max_calls = 0.0
-        if facts.below is Below.SHARED:
-            self.max_calls = facts.call_limit
-        elif facts.below is Below.TIER:
-            self.max_calls = float(CALLS_PER_CORE * facts.cores)
-        self.calls_window_ms = max(1.0, facts.call_limit_window)
+        if settings.below is Below.SHARED:
+            self.max_calls = settings.call_limit
+        elif settings.below is Below.TIER:
+            self.max_calls = float(CALLS_PER_CORE * settings.cores)
+        self.calls_window_ms = max(1.0, settings.call_limit_window)
         # How long a call still counts after its timeout, or after the end of its run
-        self.abandoned_call_ms = facts.abandoned_call_time
+        self.abandoned_call_ms = settings.abandoned_call_time
         self.calls_in_flight = 0
         self.mean_calls_in_flight = 0.0
         self.calls_averaged_at = now
@@ -232,8 +236,8 @@
         self.min_openness = min_openness.get(self.published_value_kind, MIN_OPENNESS)
         self.published_value = -1.0
 
-        self.idle_timeout_ms = facts.idle
-        self.max_idle_timeout_ms = facts.idle
+        self.idle_timeout_ms = settings.idle
+        self.max_idle_timeout_ms = settings.idle
 
         self.perform(interface.Health(True, True))
         self.perform(interface.Alarm("beat", SAMPLE_INTERVAL_MS))
--- a/myrtlecrank/policy/endpoint_group.py
+++ b/myrtlecrank/policy/endpoint_group.py
@@ -20,20 +20,20 @@
 class EndpointGroupState:
     """The queue of one endpoint group, and what was learned of its run times and work hints."""
 
-    def __init__(self, facts: interface.EndpointGroup) -> None:
-        self.kind = facts.kind
-        self.benefit = facts.benefit
-        self.late_benefit = facts.late_benefit
-        self.benefit_without_call = facts.benefit_without_call
-        self.slo = facts.slo
-        self.slo_work_multiple = facts.slo_work_multiple
-        self.timeout = facts.timeout
-        self.deduplication_window = facts.deduplication_window
+    def __init__(self, settings: interface.EndpointGroup) -> None:
+        self.kind = settings.kind
+        self.benefit = settings.benefit
+        self.late_benefit = settings.late_benefit
+        self.benefit_without_call = settings.benefit_without_call
+        self.slo = settings.slo
+        self.slo_work_multiple = settings.slo_work_multiple
+        self.timeout = settings.timeout
+        self.deduplication_window = settings.deduplication_window
 
         self.queue: list[ExchangeState] = []
         self.start_credit = 0.0  # starts that the group is owed, carried over
 
-        self.mean_run_ms = INITIAL_RUN_OF_SLO * facts.slo  # while the backend is healthy
+        self.mean_run_ms = INITIAL_RUN_OF_SLO * settings.slo  # while the backend is healthy
         self.learned_runs = 0
 
         # Regression of the logarithm of run times on that of hints
--- a/myrtlecrank/policy/interface.py
+++ b/myrtlecrank/policy/interface.py
@@ -40,7 +40,7 @@
     """How callers read the published value."""
 
     NONE = "none"
-    LEVEL = "level"  # the higher, the less they should send: 0 admits all
+    LEVEL = "level"  # the least rank that is admitted here; 0 admits all
     CREDIT = "credit"  # how many exchanges a caller may have in progress here
     WEIGHT = "weight"  # the part of its usual traffic that this backend wants: 1 is all
 
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class StartFacts:
-    """What a controller is told at its start about its backend, the fleet and the callers."""
+    """The settings of a controller: its backend, the fleet and the callers."""
 
     seed: int
     groups: list[EndpointGroup]
--- a/myrtlecrank/simulator_adapter/__init__.py
+++ b/myrtlecrank/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter between the decision module and the simulator's wire."""
+"""Runs controllers for a simulator: events as JSON lines in, operations as JSON lines out."""
--- a/myrtlecrank/simulator_adapter/host.py
+++ b/myrtlecrank/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""Keeps the instances of one adapter process and runs the batch loop."""
+"""Keeps the simulated backends of one adapter process and carries batches of events to their controllers."""
 
 from __future__ import annotations
 
@@ -14,174 +14,198 @@
 from myrtlecrank.settings import Fields, start_facts
 from myrtlecrank.simulator_adapter import protocol
 
+NO_BODY = b""  # the simulator sends no bodies
+
 
 class Instance:
-    """One backend: its controller, the exchanges it may still be told about, and what it wants done."""
+    """One backend: its controller, the exchanges that events may still name, and the replies to send."""
 
     def __init__(self, number: int, event: Fields, now: float, bounds: Bounds | None = None) -> None:
-        facts = start_facts(event.inner("conf"), event.integer("rngSeed"))
+        settings = start_facts(event.inner("conf"), event.integer("rngSeed"))
         self.number = number
-        self.tells_left = facts.tells_left
-        self.groups, self.tenants = len(facts.groups), len(facts.tenants)
-        longest = max((g.timeout + g.deduplication_window for g in facts.groups), default=0.0)
-        self.remembered_for = 2.0 * longest + facts.share_for
+        self.tells_left = settings.tells_left
+        self.group_count = len(settings.groups)
+        self.tenant_count = len(settings.tenants)
+        longest_ms = max(
+            (group.timeout + group.deduplication_window for group in settings.groups), default=0.0
+        )
+        self.remembered_ms = 2.0 * longest_ms + settings.share_for
         self.exchanges: dict[int, interface.Exchange] = {}
-        self.ids: dict[interface.Exchange, int] = {}
-        self.ages: deque[tuple[float, int]] = deque()
+        self.numbers: dict[interface.Exchange, int] = {}
+        self.arrivals: deque[tuple[float, int]] = deque()  # time and number, the eldest first
         self.replies: list[bytes] = []
         self.now = now
-        self.credit: float | None = None  # the published value
-        # The simulator tells no bodies: likeness is left out, all else is as on sockets.
+        self.published_value: float | None = None
+        # Without bodies their similarity is left out of the estimate; all else is as on sockets.
         self.repeats = None
         if bounds is not None:
-            self.repeats = Repeats([g.timeout for g in facts.groups], facts.seed, bounds, now)
-        self.controller = Controller(facts, self.do, now)
-
-    def do(self, op: interface.Operation) -> None:
-        if isinstance(op, interface.Publish):
-            self.credit = op.value
-        elif isinstance(op, interface.Deny | interface.Fail):
-            wait = op.retry_after if isinstance(op, interface.Deny) else 0.0
-            exchange_marks.answered(self.repeats, op.exchange, b"", True, wait, self.credit, self.now)
-        self.replies.append(protocol.action(op, self.number, self.ids.__getitem__))
+            timeouts = [group.timeout for group in settings.groups]
+            self.repeats = Repeats(timeouts, settings.seed, bounds, now)
+        self.controller = Controller(settings, self._perform, now)
+
+    def _perform(self, operation: interface.Operation) -> None:
+        if isinstance(operation, interface.Publish):
+            self.published_value = operation.value
+        elif isinstance(operation, interface.Deny | interface.Fail):
+            retry_after = operation.retry_after if isinstance(operation, interface.Deny) else 0.0
+            self._mark_answered(operation.exchange, True, retry_after)
+        self.replies.append(protocol.encode_operation(operation, self.number, self.numbers.__getitem__))
+
+    def _mark_answered(self, exchange: interface.Exchange, has_failed: bool, retry_after: float) -> None:
+        exchange_marks.answered(
+            self.repeats, exchange, NO_BODY, has_failed, retry_after, self.published_value, self.now
+        )
 
     def forget_old(self, now: float) -> None:
-        while self.ages and self.ages[0][0] < now - self.remembered_for:
-            ex = self.exchanges.pop(self.ages.popleft()[1], None)
-            if ex is not None:
-                del self.ids[ex]
-
-    def arrival(self, event: Fields, now: float) -> interface.Exchange:
-        ex = protocol.exchange(event, self.tells_left, self.groups, self.tenants)
-        ident = event.integer("call")
-        named = event.integer("earlier", 0)
-        if named:
-            # A repeat stays one even if what it repeats is no longer in the table.
-            ex.earlier = self.exchanges.get(named) or interface.Exchange(ex.group, None, 0.0, 0.0)
-        wait = None if ex.left is None else ex.left + ex.waited
-        exchange_marks.arrived(self.repeats, ex, b"", wait, now)
-        self.exchanges[ident] = ex
-        self.ids[ex] = ident
-        self.ages.append((now, ident))
-        return ex
+        """Drops exchanges so old that no retry can name them any more."""
+        while self.arrivals and self.arrivals[0][0] < now - self.remembered_ms:
+            exchange = self.exchanges.pop(self.arrivals.popleft()[1], None)
+            if exchange is not None:
+                del self.numbers[exchange]
+
+    def _decode_arrival(self, event: Fields, now: float) -> interface.Exchange:
+        exchange = protocol.decode_exchange(event, self.tells_left, self.group_count, self.tenant_count)
+        number = event.integer("call")
+        original = event.integer("earlier", 0)
+        if original:
+            # A retry stays one even if the exchange that it retries is no longer in the table.
+            exchange.earlier = self.exchanges.get(original) or interface.Exchange(
+                exchange.group, None, 0.0, 0.0
+            )
+        timeout = None if exchange.left is None else exchange.left + exchange.waited
+        exchange_marks.arrived(self.repeats, exchange, NO_BODY, timeout, now)
+        self.exchanges[number] = exchange
+        self.numbers[exchange] = number
+        self.arrivals.append((now, number))
+        return exchange
 
     def event(self, event: Fields, now: float) -> None:
+        """Hands one event to the controller; one about an exchange that is forgotten changes nothing."""
         self.now = now
         name = event.text("msg")
-        known = self.exchanges.get(event.integer("call")) if name in ABOUT_ONE else None
+        exchange = self.exchanges.get(event.integer("call")) if name in EXCHANGE_EVENTS else None
         if name == "inbound":
-            self.controller.arrived(self.arrival(event, now), now)
+            self.controller.arrived(self._decode_arrival(event, now), now)
         elif name == "result":
-            end, took = protocol.outcome(event), event.ms("costTime", 0.0)
-            if known:
-                if end in (interface.Outcome.OK, interface.Outcome.ERROR):
-                    failed = end is interface.Outcome.ERROR
-                    exchange_marks.answered(self.repeats, known, b"", failed, 0.0, self.credit, now)
-                self.controller.finished(known, end, took, now)
+            outcome, took_ms = protocol.decode_outcome(event), event.duration_ms("costTime", 0.0)
+            if exchange:
+                if outcome in (interface.Outcome.OK, interface.Outcome.ERROR):
+                    self._mark_answered(exchange, outcome is interface.Outcome.ERROR, 0.0)
+                self.controller.finished(exchange, outcome, took_ms, now)
         elif name == "atCall":
-            if known:
-                self.controller.at_call(known, now)
+            if exchange:
+                self.controller.at_call(exchange, now)
         elif name == "cameBack":
-            end, took = protocol.outcome(event), event.ms("costTime", 0.0)
-            if known:
-                self.controller.call_ended(known, end, took, now)
+            outcome, took_ms = protocol.decode_outcome(event), event.duration_ms("costTime", 0.0)
+            if exchange:
+                self.controller.call_ended(exchange, outcome, took_ms, now)
         elif name == "expired":
-            if known:
+            if exchange:
                 if self.repeats is not None:
-                    self.repeats.left(known.caller, now)
-                self.controller.caller_left(known, now)
+                    self.repeats.left(exchange.caller, now)
+                self.controller.caller_left(exchange, now)
         elif name == "terminateSoon":
-            self.controller.leave(event.ms("patienceLeft"), now)
+            self.controller.leave(event.duration_ms("patienceLeft"), now)
         elif name == "fired":
-            gauges = protocol.gauges(event)
+            gauges = protocol.decode_gauges(event)
             gauges.storm = self.repeats is not None and self.repeats.tide(now).storm
             self.controller.alarm(event.text("name"), gauges, now)
 
 
-ABOUT_ONE = {"result", "atCall", "cameBack", "expired"}
-EVENTS = ABOUT_ONE | {"inbound", "terminateSoon", "fired"}
+EXCHANGE_EVENTS = {"result", "atCall", "cameBack", "expired"}
+EVENTS = EXCHANGE_EVENTS | {"inbound", "terminateSoon", "fired"}
 
 
 class Host:
+    """All simulated backends of the process, and the batch that is being read."""
+
     def __init__(self, bounds: Bounds | None = None) -> None:
         self.bounds = bounds
         self.instances: dict[int, Instance] = {}
-        self.now: float | None = None
-        self.touched: dict[int, Instance] = {}
+        self.batch_time: float | None = None  # ms; None: outside a batch
+        self.instances_in_batch: dict[int, Instance] = {}
 
-    def line(self, event: Fields) -> list[bytes] | None:
-        """Takes one line in; at the end of a batch, its reply."""
+    def handle(self, event: Fields) -> list[bytes] | None:
+        """Handles one event; returns the reply lines at the end of a batch.
+
+        Raises ProtocolError for an event that is not valid, and Panic for an exception in the controller.
+        """
         name = event.text("msg")
         if name == "turn":
-            if self.now is not None:
-                raise protocol.WireError(f"{event.where} begins a batch inside another")
-            self.now = event.integer("simTime") / 1000.0
+            if self.batch_time is not None:
+                raise protocol.ProtocolError(f"{event.where} begins a batch inside another")
+            self.batch_time = event.integer("simTime") / protocol.US_PER_MS
             return None
-        if self.now is None:
-            raise protocol.WireError(f"{event.where} stands outside a batch")
+        if self.batch_time is None:
+            raise protocol.ProtocolError(f"{event.where} is outside a batch")
         if name == "flush":
-            return self._reply(self.now)
+            return self._end_batch(self.batch_time)
         number = event.integer("backendId")
         if name == "start":
-            started = self._guarded(number, Instance, number, event, self.now, self.bounds)
-            self.instances[number] = self.touched[number] = started
+            started = self._guarded(number, Instance, number, event, self.batch_time, self.bounds)
+            self.instances[number] = started
+            self.instances_in_batch[number] = started
         elif name == "retire":
             self.instances.pop(number, None)
-            self.touched.pop(number, None)
+            self.instances_in_batch.pop(number, None)
         elif name not in EVENTS:
-            raise protocol.WireError(f"{event.where}: unknown event")
+            raise protocol.ProtocolError(f"{event.where}: unknown event")
         else:
             instance = self.instances.get(number)
             if instance is None:
-                raise protocol.WireError(f"{event.where}: backend {number} has not started")
-            self.touched[number] = instance
-            self._guarded(number, instance.event, event, self.now)
+                raise protocol.ProtocolError(f"{event.where}: backend {number} has not started")
+            self.instances_in_batch[number] = instance
+            self._guarded(number, instance.event, event, self.batch_time)
         return None
 
     def _guarded(self, number: int, work: Callable[..., Any], *args: Any) -> Any:
         try:
             return work(*args)
-        except protocol.WireError:
+        except protocol.ProtocolError:
             raise
         except Exception as error:
             raise Panic(number, error) from error
 
-    def _reply(self, now: float) -> list[bytes]:
+    def _end_batch(self, now: float) -> list[bytes]:
         lines: list[bytes] = []
-        for number, instance in self.touched.items():
+        for number, instance in self.instances_in_batch.items():
             self._guarded(number, instance.controller.settle, now)
             instance.forget_old(now)
             lines += instance.replies
             instance.replies.clear()
-        self.touched.clear()
-        self.now = None
-        lines.append(b'{"msg":"next"}')
+        self.instances_in_batch.clear()
+        self.batch_time = None
+        lines.append(protocol.END_OF_REPLY)
         return lines
 
 
 class Panic(Exception):
-    """An exception in the decision module, to be told on the wire."""
+    """An exception in a controller, with the line that reports it to the simulator."""
 
     def __init__(self, backend: int, cause: Exception) -> None:
         super().__init__(str(cause))
-        self.line = protocol.panic(backend, cause)
+        self.line = protocol.encode_panic(backend, cause)
 
 
 def serve(lines: Iterable[bytes], out: BinaryIO, bounds: Bounds | None = None) -> None:
-    """Runs until the input ends; raises WireError at a malformed line. `bounds`: of the repeats."""
+    """Runs until the input ends.
+
+    Raises ProtocolError for a malformed line, and Panic for an exception in a controller once that is sent.
+    `bounds` are the limits of the retry estimate; None turns it off.
+    """
     host = Host(bounds)
     number = 0
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
-            reply = host.line(protocol.parse(line, number))
+            reply = host.handle(protocol.parse(line, number))
         except Panic as panic:
-            out.write(panic.line + b'\n{"msg":"next"}\n')
+            out.write(panic.line + b"\n" + protocol.END_OF_REPLY + b"\n")
             out.flush()
             raise
         if reply is not None:
             out.write(b"\n".join(reply) + b"\n")
             out.flush()
-    if host.now is not None:
-        raise protocol.WireError(f"the input ends inside a batch, after line {number}")
+    if host.batch_time is not None:
+        raise protocol.ProtocolError(f"the input ends inside a batch, after line {number}")
--- a/myrtlecrank/simulator_adapter/protocol.py
+++ b/myrtlecrank/simulator_adapter/protocol.py
@@ -1,4 +1,4 @@
-"""Translates wire lines to port types and operations back to wire lines."""
+"""Codec of the simulator's protocol: decodes events from JSON lines, and encodes operations as JSON lines."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 import orjson
 
 from myrtlecrank.policy import interface
-from myrtlecrank.settings import GAUGES, FieldError, Fields
+from myrtlecrank.settings import GAUGE_ATTRIBUTES, FieldError, Fields
 
-WireError = FieldError
+ProtocolError = FieldError
+END_OF_REPLY = b'{"msg":"next"}'
+US_PER_MS = 1000.0
 
 OUTCOMES = {
     10: interface.Outcome.OK,
@@ -24,90 +26,108 @@
 
 
 def parse(line: bytes, number: int) -> Fields:
+    """The fields of one line; `number` names the line in errors."""
     where = f"line {number}"
     try:
         values = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise WireError(f"{where} is not JSON: {error}") from None
+        raise ProtocolError(f"{where} is not JSON: {error}") from None
     fields = Fields(values, where)
     fields.where = f"{where} ({fields.text('msg')})"
     return fields
 
 
-def exchange(event: Fields, tells_left: bool, groups: int, tenants: int) -> interface.Exchange:
+def decode_exchange(
+    event: Fields, tells_left: bool, group_count: int, tenant_count: int
+) -> interface.Exchange:
+    """The exchange of an arrival; `tells_left`: whether the remaining time of callers may be used."""
     group = event.integer("priority")
-    if not 0 <= group < groups:
-        raise WireError(f"{event.where}: the field 'priority' names no category: {group}")
+    if not 0 <= group < group_count:
+        raise ProtocolError(
+            f"{event.where}: the field 'priority' names no category: {group}, of {group_count}"
+        )
     tenant = event.integer("clientGroup", 0)
-    if tenants and not 0 <= tenant < tenants:
-        raise WireError(f"{event.where}: the field 'clientGroup' names no tenant: {tenant}")
-    left = event.ms("patienceLeft", 0.0)
+    if tenant_count and not 0 <= tenant < tenant_count:
+        raise ProtocolError(
+            f"{event.where}: the field 'clientGroup' names no tenant: {tenant}, of {tenant_count}"
+        )
+    left = event.duration_ms("patienceLeft", 0.0)
     return interface.Exchange(
         group=group,
         left=left if tells_left and left > 0 else None,
-        waited=event.ms("backlogTime", 0.0),
+        waited=event.duration_ms("backlogTime", 0.0),
         kb=event.number("memKb", 0.0),
         caller=event.integer("originPeer", 0),
         tenant=tenant,
         rank=event.number("prio", 0.0),
         is_marked_retry=event.flag("repeat", False),
         keyed=bool(event.text("object", "")),
-        work_hint=event.ms("sizeHint", 0.0),
+        work_hint=event.duration_ms("sizeHint", 0.0),
     )
 
 
-def outcome(event: Fields) -> interface.Outcome:
+def decode_outcome(event: Fields) -> interface.Outcome:
+    """How the run or the call of the event ended."""
     result: interface.Outcome = event.choice("rc", OUTCOMES)
     return result
 
 
-def gauges(event: Fields) -> interface.Gauges:
-    told = interface.Gauges()
+def decode_gauges(event: Fields) -> interface.Gauges:
+    """The gauges of a sample; unknown ones are left out."""
+    gauges = interface.Gauges()
     for name, value in event.inner("report", {}).values.items():
-        if name in GAUGES and isinstance(value, int | float):
-            setattr(told, GAUGES[name], float(value))
-    return told
+        if name in GAUGE_ATTRIBUTES and isinstance(value, int | float):
+            setattr(gauges, GAUGE_ATTRIBUTES[name], float(value))
+    return gauges
 
 
-def us(ms: float) -> int:
-    return max(0, round(ms * 1000.0))
+def _microseconds(ms: float) -> int:
+    return max(0, round(ms * US_PER_MS))
 
 
-def action(op: interface.Operation, backend: int, ids: Callable[[interface.Exchange], int]) -> bytes:
-    """One reply line for one operation."""
+def encode_operation(
+    operation: interface.Operation, backend: int, number_of: Callable[[interface.Exchange], int]
+) -> bytes:
+    """The reply line for an operation; `number_of` gives the number under which an exchange arrived."""
     row: dict[str, object]
-    match op:
-        case interface.Start(ex):
-            row = {"msg": "take", "call": ids(ex)}
-        case interface.Halt(ex):
-            row = {"msg": "preempt", "call": ids(ex)}
-        case interface.Deny(ex, last, wait):
-            row = {"msg": "deny", "call": ids(ex), "terminal": last, "pause": us(wait)}
-        case interface.Fail(ex):
-            row = {"msg": "respondError", "call": ids(ex)}
-        case interface.Call(ex, timeout):
-            row = {"msg": "callDep", "call": ids(ex), "tryFor": us(timeout)}
-        case interface.Skip(ex):
-            row = {"msg": "skip", "call": ids(ex)}
-        case interface.Retain(ex, span):
-            row = {"msg": "retain", "call": ids(ex), "span": us(span)}
-        case interface.Erase(ex):
-            row = {"msg": "erase", "call": ids(ex)}
-        case interface.Join(ex):
-            row = {"msg": "join", "call": ids(ex)}
-        case interface.Health(on, stored):
-            row = {"msg": "setHealth", "on": on, "shallow": stored}
+    match operation:
+        case interface.Start(exchange):
+            row = {"msg": "take", "call": number_of(exchange)}
+        case interface.Halt(exchange):
+            row = {"msg": "preempt", "call": number_of(exchange)}
+        case interface.Deny(exchange, is_final, retry_after):
+            row = {
+                "msg": "deny",
+                "call": number_of(exchange),
+                "terminal": is_final,
+                "pause": _microseconds(retry_after),
+            }
+        case interface.Fail(exchange):
+            row = {"msg": "respondError", "call": number_of(exchange)}
+        case interface.Call(exchange, timeout):
+            row = {"msg": "callDep", "call": number_of(exchange), "tryFor": _microseconds(timeout)}
+        case interface.Skip(exchange):
+            row = {"msg": "skip", "call": number_of(exchange)}
+        case interface.Retain(exchange, duration):
+            row = {"msg": "retain", "call": number_of(exchange), "span": _microseconds(duration)}
+        case interface.Erase(exchange):
+            row = {"msg": "erase", "call": number_of(exchange)}
+        case interface.Join(exchange):
+            row = {"msg": "join", "call": number_of(exchange)}
+        case interface.Health(is_healthy, shallow):
+            row = {"msg": "setHealth", "on": is_healthy, "shallow": shallow}
         case interface.Publish(value):
             row = {"msg": "publish", "amount": value}
-        case interface.IdleLimit(span):
-            row = {"msg": "idleLimit", "span": us(span)}
+        case interface.IdleLimit(timeout):
+            row = {"msg": "idleLimit", "span": _microseconds(timeout)}
         case interface.Alarm(name, delay):
-            row = {"msg": "setAlarm", "name": name, "offset": us(delay)}
+            row = {"msg": "setAlarm", "name": name, "offset": _microseconds(delay)}
         case interface.Log(text):
             row = {"msg": "remark", "text": text}
     row["backendId"] = backend
     return orjson.dumps(row)
 
 
-def panic(backend: int, error: Exception) -> bytes:
+def encode_panic(backend: int, error: Exception) -> bytes:
+    """The line that reports an exception in a controller."""
     return orjson.dumps({"msg": "panic", "backendId": backend, "text": f"{type(error).__name__}: {error}"})
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: bad lines end the adapter with one message, odd but legal ones do not."""
+"""The simulator's protocol: malformed lines end the adapter with one message, odd but valid ones do not."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from myrtlecrank.retries.options import Bounds
 from myrtlecrank.settings import Fields
 from myrtlecrank.simulator_adapter import host
-from myrtlecrank.simulator_adapter.protocol import WireError
+from myrtlecrank.simulator_adapter.protocol import ProtocolError
 
 CONF = {
     "categories": [{"name": "a", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000, "new": 1}],
@@ -57,13 +57,13 @@
     ],
 )
 def test_a_malformed_line_is_named(row: Any, message: str) -> None:
-    with pytest.raises(WireError, match=message) as caught:
+    with pytest.raises(ProtocolError, match=message) as caught:
         play(TURN, START, row, FLUSH)
     assert "line 3" in str(caught.value)
 
 
 def test_a_batch_cut_short_is_an_error() -> None:
-    with pytest.raises(WireError, match="inside a batch"):
+    with pytest.raises(ProtocolError, match="inside a batch"):
         play(TURN, START)
 
 
