--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -21,9 +21,11 @@
 from myrtlecrank.policy.interface import Below, Cancellation, Exchange, Kind, Outcome, PublishedValueKind
 
 NEVER = float("inf")
+MS_PER_S = 1000.0
 LONGEST_READ_DELAY_MS = 1e9  # a least delay beyond this stands for a window without arrivals
 
 # Gauges and duress
+SAMPLE_TIMER = "beat"
 SAMPLE_INTERVAL_MS = 100.0
 CPU_WINDOW_SAMPLES = 20  # 2 s
 CONCURRENCY_SMOOTHING = 0.1  # weight of a new sample
@@ -127,13 +129,14 @@
         self.groups = [EndpointGroupState(group) for group in settings.groups]
         self.shortest_slo = min(group.slo for group in self.groups)
 
-        # What this backend should get of each tenant (per ms), and what it gets
-        self.tenant_shares = [
-            tenant.per_second / 1000.0 / max(1, settings.backends) for tenant in settings.tenants
+        # Arrivals per ms of each tenant: this backend's part of its allowance, and the measured rate
+        self.tenant_allowances = [
+            tenant.per_second / MS_PER_S / max(1, settings.backends) for tenant in settings.tenants
         ]
         self.tenant_rates = [0.0] * len(settings.tenants)
         self.tenant_windows_ms = [
-            max(TENANT_RATE_WINDOW_MS, TENANT_RATE_EVENTS / max(1e-6, share)) for share in self.tenant_shares
+            max(TENANT_RATE_WINDOW_MS, TENANT_RATE_EVENTS / max(1e-6, share))
+            for share in self.tenant_allowances
         ]
         self.over_share_benefit = settings.over_share_benefit
         self.benefit_by_work = settings.benefit_by_work
@@ -239,8 +242,8 @@
         self.idle_timeout_ms = settings.idle
         self.max_idle_timeout_ms = settings.idle
 
-        self.perform(interface.Health(True, True))
-        self.perform(interface.Alarm("beat", SAMPLE_INTERVAL_MS))
+        self.perform(interface.Health(is_healthy=True, shallow=True))
+        self.perform(interface.Alarm(SAMPLE_TIMER, SAMPLE_INTERVAL_MS))
         self._publish()
 
     # The flow of an exchange
@@ -390,22 +393,22 @@
         unhealthy. The wait is random, lest all that are denied come back at once.
         """
         if self.drain_ends_at < NEVER:
-            return interface.Deny(state.exchange, False, self.max_retry_after_ms)
+            return interface.Deny(state.exchange, is_final=False, retry_after=self.max_retry_after_ms)
         try_elsewhere = self.unhealthy_until > 0.0  # others are likely to be better off
         retry_after_ms = self.max_retry_after_ms
         if not try_elsewhere:
             wait_ms = self._queue_wait_ms() + self.mean_read_delay_ms
             retry_after_ms = self.random_fraction() * min(self.max_spread_retry_after_ms, wait_ms)
-        return interface.Deny(state.exchange, not try_elsewhere, retry_after_ms)
+        return interface.Deny(state.exchange, is_final=not try_elsewhere, retry_after=retry_after_ms)
 
     # Arrivals: admission on the rolling gauges
 
     def arrived(self, exchange: Exchange, now: float) -> None:
-        """An exchange was read; it is queued, denied or joined to the one that it retries."""
+        """An exchange was read; it is queued or denied, or waits for the exchange that it retries."""
         self.now = now
         state = exchange.course = ExchangeState(exchange, self.groups[exchange.group], now)
         self.used_kb += exchange.kb
-        if self.tenant_shares:
+        if self.tenant_allowances:
             self.tenant_rates[exchange.tenant] += 1.0 / self.tenant_windows_ms[exchange.tenant]
         # Being read takes a while on an idle backend too; only what goes beyond the least delay is waiting.
         self.least_read_delay_ms = min(self.least_read_delay_ms, exchange.waited)
@@ -420,10 +423,10 @@
     def _initial_value(self, state: ExchangeState) -> float:
         """Benefit for each ms of work; less for a tenant beyond this backend's part of its allowance."""
         value = state.group.benefit if self.benefit_by_work else state.group.benefit / state.group.mean_run_ms
-        if self.tenant_shares:
+        if self.tenant_allowances:
             tenant = state.exchange.tenant
-            within_share = min(1.0, self.tenant_shares[tenant] / max(1e-9, self.tenant_rates[tenant]))
-            value *= within_share + (1.0 - within_share) * self.over_share_benefit
+            within_allowance = min(1.0, self.tenant_allowances[tenant] / max(1e-9, self.tenant_rates[tenant]))
+            value *= within_allowance + (1.0 - within_allowance) * self.over_share_benefit
         return value
 
     def _expected_run_ms(self, state: ExchangeState) -> float:
@@ -698,13 +701,13 @@
         self.drain_ends_at = min(
             now + self.drain_grace_ms - self.answer_margin_ms, self.stop_at - 2.0 * self.answer_margin_ms
         )
-        self.perform(interface.Health(False, True))
+        self.perform(interface.Health(is_healthy=False, shallow=True))
         return self.drain_ends_at
 
     def alarm(self, name: str, gauges: interface.Gauges, now: float) -> None:
         """The timer of a sample fired: takes in the gauges, adapts the limits, checks duress and health."""
         self.now = now
-        self.perform(interface.Alarm("beat", SAMPLE_INTERVAL_MS))
+        self.perform(interface.Alarm(SAMPLE_TIMER, SAMPLE_INTERVAL_MS))
         self.samples += 1
         cpu = self._take_gauges(gauges)
         self._adapt_run_limit()
@@ -812,7 +815,7 @@
         self.next_unhealthy_ms = min(MAX_UNHEALTHY_MULTIPLE * UNHEALTHY_MS, 2.0 * self.next_unhealthy_ms)
         self.slowness = max(self.slowness, SLOW_RUN_MULTIPLE)
         self.ended_since_unhealthy = 0
-        self.perform(interface.Health(False, True))
+        self.perform(interface.Health(is_healthy=False, shallow=True))
         self.perform(interface.Log("runs hardly end or none starts: bad health for a while"))
 
     def _turn_healthy_if_recovered(self) -> None:
@@ -825,7 +828,7 @@
         self.unhealthy_until = 0.0
         self.owed_runs = min(self.owed_runs, OWED_AFTER_RECOVERY_MULTIPLE * MAX_OWED_RUNS)
         self.least_read_delay_ms = NEVER  # while the work hung, reading took no time at all
-        self.perform(interface.Health(self.drain_ends_at == NEVER, True))
+        self.perform(interface.Health(is_healthy=self.drain_ends_at == NEVER, shallow=True))
 
     def _check_duress(self, cpu: float) -> None:
         """Cancels the running exchange with the highest score, after three samples under duress in a row.
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The decisions without the bench: the four rules, the design's path, and each defence."""
+"""The controller alone: the four rules, admission and cancellation, and each protection."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return [arrive(controller, now, **facts) for _ in range(n)]
 
 
-def beats(controller: Controller, now: float, n: int, gauges: Gauges = BUSY) -> float:
+def samples(controller: Controller, now: float, n: int, gauges: Gauges = BUSY) -> float:
     for _ in range(n):
         now += 100.0
         controller.alarm("beat", gauges, now)
@@ -50,69 +50,71 @@
 
 
 @pytest.mark.parametrize("cancellation", list(Cancellation))
-def test_running_work_is_answered_before_it_is_due(cancellation: Cancellation) -> None:
+def test_running_exchange_is_answered_before_its_deadline(cancellation: Cancellation) -> None:
     controller, ops = backend(cancellation=cancellation)
-    ex = arrive(controller, 0.0)
+    exchange = arrive(controller, 0.0)
     controller.settle(3800.0)
-    assert not answers(ops, ex)
+    assert not answers(ops, exchange)
     controller.settle(3900.0)
-    assert len(answers(ops, ex)) == 1
-    assert len(of(ops, Halt, ex)) == (cancellation is not Cancellation.NONE)
-    controller.finished(ex, Outcome.CANCELLED, 3900.0, 3901.0)
-    assert controller.used_kb == 0.0 and len(answers(ops, ex)) == 1
+    assert len(answers(ops, exchange)) == 1
+    assert len(of(ops, Halt, exchange)) == (cancellation is not Cancellation.NONE)
+    controller.finished(exchange, Outcome.CANCELLED, 3900.0, 3901.0)
+    assert controller.used_kb == 0.0 and len(answers(ops, exchange)) == 1
 
 
-def test_held_work_is_denied_at_once_when_it_can_no_longer_be_of_use() -> None:
+def test_queued_exchange_is_denied_once_it_can_earn_no_benefit() -> None:
     controller, ops = backend(group(late_benefit=0.0))
     fill(controller, 4)
-    held = arrive(controller, 0.0)
+    queued = arrive(controller, 0.0)
     controller.settle(700.0)
-    assert not answers(ops, held)
+    assert not answers(ops, queued)
     controller.settle(900.0)
-    assert of(ops, Deny, held) and controller.queued_count == 0
+    assert of(ops, Deny, queued) and controller.queued_count == 0
 
 
-def test_without_a_told_wait_the_timeout_counts_from_the_machine() -> None:
+def test_without_a_sent_remaining_time_the_timeout_counts_from_reaching_the_machine() -> None:
     controller, ops = backend()
-    ex = arrive(controller, 0.0, left=None, waited=1000.0)
+    exchange = arrive(controller, 0.0, left=None, waited=1000.0)
     controller.settle(2900.0)
-    assert answers(ops, ex)
+    assert answers(ops, exchange)
 
 
-def test_after_a_stall_all_that_is_due_is_answered() -> None:
+def test_after_a_stall_every_overdue_exchange_is_answered() -> None:
     controller, ops = backend()
-    exes = fill(controller, 8)
+    exchanges = fill(controller, 8)
     controller.settle(60_000.0)
-    assert all(len(answers(ops, ex)) + (ex.course.is_answered is False) == 1 for ex in exes)
+    assert all(
+        len(answers(ops, exchange)) + (exchange.course.is_answered is False) == 1 for exchange in exchanges
+    )
 
 
-def test_events_for_what_is_over_are_harmless() -> None:
+def test_events_for_closed_exchanges_change_nothing() -> None:
     controller, ops = backend()
-    ex = arrive(controller, 0.0)
-    controller.finished(ex, Outcome.OK, 100.0, 100.0)
+    exchange = arrive(controller, 0.0)
+    controller.finished(exchange, Outcome.OK, 100.0, 100.0)
     ops.clear()
-    controller.finished(ex, Outcome.MOOT, 0.0, 110.0)
-    controller.at_call(ex, 110.0)
-    controller.call_ended(ex, Outcome.OK, 1.0, 110.0)
-    controller.caller_left(ex, 110.0)
+    controller.finished(exchange, Outcome.MOOT, 0.0, 110.0)
+    controller.at_call(exchange, 110.0)
+    controller.call_ended(exchange, Outcome.OK, 1.0, 110.0)
+    controller.caller_left(exchange, 110.0)
     controller.settle(5000.0)
     assert not ops
 
 
-def test_a_caller_that_left_is_owed_nothing() -> None:
+def test_caller_that_left_gets_no_answer() -> None:
     controller, ops = backend()
-    exes = fill(controller, 6)
-    controller.caller_left(exes[0], 10.0)
-    controller.caller_left(exes[5], 10.0)
-    assert of(ops, Halt, exes[0]) and controller.queued_count == 1
+    exchanges = fill(controller, 6)
+    controller.caller_left(exchanges[0], 10.0)
+    controller.caller_left(exchanges[5], 10.0)
+    assert of(ops, Halt, exchanges[0]) and controller.queued_count == 1
     controller.settle(5000.0)
-    assert not answers(ops, exes[0]) and not answers(ops, exes[5])
+    assert not answers(ops, exchanges[0]) and not answers(ops, exchanges[5])
 
 
-# Rule 2: one effect
+# Rule 2: at most one effect
 
 
-def test_a_repeat_joins_and_is_never_denied() -> None:
+def test_retry_waits_for_its_original_and_is_never_denied() -> None:
     controller, ops = backend(group(Kind.DEDUPLICATED))
     first = arrive(controller, 0.0)
     assert of(ops, Retain, first)[0].duration == 5000.0
@@ -123,16 +125,16 @@
 
 
 @pytest.mark.parametrize("kind", [Kind.DEDUPLICATED, Kind.MUTATING])
-def test_what_has_run_is_failed_not_denied(kind: Kind) -> None:
+def test_exchange_that_has_run_is_failed_and_not_denied(kind: Kind) -> None:
     controller, ops = backend(group(kind))
-    ex = arrive(controller, 0.0)
-    controller._advance(ex.course, ResumeReason.DURESS)
-    assert of(ops, Fail, ex) and of(ops, Halt, ex) and not of(ops, Deny, ex)
+    exchange = arrive(controller, 0.0)
+    controller._advance(exchange.course, ResumeReason.DURESS)
+    assert of(ops, Fail, exchange) and of(ops, Halt, exchange) and not of(ops, Deny, exchange)
     controller.settle(20.0)
-    assert len(of(ops, Start, ex)) == 1
+    assert len(of(ops, Start, exchange)) == 1
 
 
-def test_a_read_shares_an_answer_where_the_site_allows() -> None:
+def test_read_shares_an_answer_where_the_settings_allow() -> None:
     controller, ops = backend(share_for=500.0)
     first = arrive(controller, 0.0, keyed=True)
     assert of(ops, Retain, first)
@@ -142,7 +144,7 @@
 # Rule 3: drain
 
 
-def test_what_arrives_after_the_grace_does_not_run() -> None:
+def test_arrivals_after_the_drain_grace_period_do_not_run() -> None:
     controller, ops = backend(published_value_kind=PublishedValueKind.CREDIT)
     until = controller.leave(5000.0, 0.0)
     assert of(ops, Health)[0].is_healthy is False and 800.0 < until < 1000.0
@@ -150,7 +152,7 @@
     assert of(ops, Start, early) and of(ops, Deny, late) and not of(ops, Start, late)
 
 
-def test_a_backend_that_leaves_draws_traffic_until_nothing_more_would_run() -> None:
+def test_draining_backend_asks_for_traffic_until_arrivals_no_longer_run() -> None:
     controller, ops = backend(published_value_kind=PublishedValueKind.CREDIT)
     until = controller.leave(5000.0, 0.0)
     for now in range(100, 1001, 100):
@@ -159,41 +161,41 @@
     assert until < 1000.0 and of(ops, Publish)[-1].value == 0.0
 
 
-def test_a_credit_follows_the_most_in_hand_and_not_an_idle_instant() -> None:
+def test_credit_follows_the_peak_in_progress_and_not_an_idle_instant() -> None:
     controller, _ = backend(published_value_kind=PublishedValueKind.CREDIT)
     controller.openness = 8.0
     for start in (10.0, 310.0):
-        exes = fill(controller, 4, start)
-        for ex in exes:
-            controller.finished(ex, Outcome.OK, 5.0, start + 5.0)
-        for beat in range(1, 4):
+        exchanges = fill(controller, 4, start)
+        for exchange in exchanges:
+            controller.finished(exchange, Outcome.OK, 5.0, start + 5.0)
+        for sample in range(1, 4):
             controller.settle(start + 5.0)
-            controller.alarm("beat", Gauges(0.1), start - 10.0 + 100.0 * beat)
+            controller.alarm("beat", Gauges(0.1), start - 10.0 + 100.0 * sample)
         assert controller.published_value >= 6.0
-    for beat in range(7, 13):
-        controller.settle(100.0 * beat)
-        controller.alarm("beat", Gauges(0.1), 100.0 * beat)
+    for sample in range(7, 13):
+        controller.settle(100.0 * sample)
+        controller.alarm("beat", Gauges(0.1), 100.0 * sample)
     assert controller.published_value >= 6.0  # nothing came, so nothing was learned
     arrive(controller, 1210.0)
-    for beat in range(13, 16):
-        controller.alarm("beat", Gauges(0.1), 100.0 * beat)
+    for sample in range(13, 16):
+        controller.alarm("beat", Gauges(0.1), 100.0 * sample)
     assert controller.published_value == 3.0
 
 
-def test_all_is_answered_before_the_stop() -> None:
+def test_every_exchange_is_answered_before_the_process_stops() -> None:
     controller, ops = backend(group(Kind.DEDUPLICATED))
-    exes = fill(controller, 6, 0.0)
-    exes.append(arrive(controller, 0.0, earlier=exes[0]))
+    exchanges = fill(controller, 6, 0.0)
+    exchanges.append(arrive(controller, 0.0, earlier=exchanges[0]))
     controller.leave(1000.0, 0.0)
     controller.settle(850.0)
-    assert all(len(answers(ops, ex)) == 1 for ex in exes)
+    assert all(len(answers(ops, exchange)) == 1 for exchange in exchanges)
     assert answers(ops, arrive(controller, 900.0))
 
 
-# Rule 4: no fall-over
+# Rule 4: no overload
 
 
-def test_memory_is_kept_for_all_that_is_held_and_running() -> None:
+def test_memory_limit_covers_queued_and_running_exchanges() -> None:
     controller, ops = backend(memory_kb=400.0, survivable_concurrency_per_core=50.0)
     controller.run_limit = 50.0
     fill(controller, 20)
@@ -201,13 +203,13 @@
     assert 1 <= len(of(ops, Start)) <= 3 and of(ops, Deny)
 
 
-def test_what_never_fits_is_denied_not_held() -> None:
+def test_exchange_that_never_fits_in_memory_is_denied() -> None:
     controller, ops = backend(memory_kb=100.0)
-    ex = arrive(controller, 0.0, kb=20.0)
-    assert of(ops, Deny, ex) and controller.used_kb == 0.0
+    exchange = arrive(controller, 0.0, kb=20.0)
+    assert of(ops, Deny, exchange) and controller.used_kb == 0.0
 
 
-def test_a_cold_backend_starts_fewer_and_ramps() -> None:
+def test_cold_backend_runs_fewer_and_ramps_up() -> None:
     controller, _ = backend(cold=True)
     controller.run_limit = 100.0
     cold = controller._run_capacity()
@@ -217,7 +219,7 @@
     assert cold < half < controller._run_capacity() <= 5.0 * 4
 
 
-def test_calls_stay_under_the_share_also_below_one() -> None:
+def test_calls_stay_under_the_limit_also_below_one() -> None:
     controller, ops = backend(
         group(may_call=True), below=Below.SHARED, call_limit=0.6, call_limit_window=1000.0
     )
@@ -242,43 +244,43 @@
         (Kind.MUTATING, Outcome.RESET, 0.5, Skip),
     ],
 )
-def test_a_call_is_repeated_only_without_harm(
+def test_call_is_retried_only_where_it_does_no_harm(
     kind: Kind, outcome: Outcome, without: float, expected: type
 ) -> None:
     controller, ops = backend(group(kind, may_call=True, benefit_without_call=without), below=Below.TIER)
-    ex = arrive(controller, 0.0)
-    controller.at_call(ex, 0.0)
+    exchange = arrive(controller, 0.0)
+    controller.at_call(exchange, 0.0)
     controller.settle(0.0)
     ops.clear()
-    controller.call_ended(ex, outcome, 10.0, 10.0)
+    controller.call_ended(exchange, outcome, 10.0, 10.0)
     controller.settle(10.0)
-    assert len(of(ops, expected, ex)) == 1
+    assert len(of(ops, expected, exchange)) == 1
 
 
-# The design's path
+# Admission, queueing and cancellation
 
 
-def test_duress_cancels_the_highest_score_after_three_samples_one_a_sample() -> None:
+def test_duress_cancels_the_highest_score_after_three_samples() -> None:
     controller, ops = backend(group(timeout=1000.0, slo=500.0))
     old = arrive(controller, -700.0, left=9000.0)
     fill(controller, 6, 0.0, left=9000.0)
-    beats(controller, 0.0, 2)
+    samples(controller, 0.0, 2)
     assert not of(ops, Halt)
-    beats(controller, 200.0, 1)
+    samples(controller, 200.0, 1)
     assert [op.exchange for op in of(ops, Halt)] == [old]
     assert of(ops, Deny, old)
 
 
-def test_arrivals_are_refused_on_the_memory_gauge_and_the_size_of_the_hold() -> None:
+def test_arrivals_are_denied_by_the_memory_gauge_and_the_queue_length() -> None:
     controller, ops = backend()
     controller.memory_gauge = 0.9
     assert of(ops, Deny, arrive(controller, 0.0))
     controller.memory_gauge = 0.0
-    exes = fill(controller, 30)
-    assert len(of(ops, Deny, exes[-1])) > 0 and controller.queued_count < 20
+    exchanges = fill(controller, 30)
+    assert len(of(ops, Deny, exchanges[-1])) > 0 and controller.queued_count < 20
 
 
-def test_the_cpu_gauge_shortens_the_hold() -> None:
+def test_cpu_gauge_shortens_the_queue() -> None:
     calm, _ = backend()
     fill(calm, 30)
     pressed, _ = backend()
@@ -287,14 +289,14 @@
     assert 0 < pressed.queued_count < calm.queued_count
 
 
-def test_the_least_value_is_turned_away_for_a_better_arrival() -> None:
+def test_least_value_is_denied_for_a_better_arrival() -> None:
     controller, ops = backend(group(), group(benefit=3.0))
     low = fill(controller, 30)
     high = arrive(controller, 0.0, group=1)
-    assert not answers(ops, high) and any(of(ops, Deny, ex) for ex in low)
+    assert not answers(ops, high) and any(of(ops, Deny, exchange) for exchange in low)
 
 
-def test_lines_take_turns_by_weight() -> None:
+def test_queues_share_the_starts_by_value() -> None:
     controller, ops = backend(group(slo=9000.0), group(slo=9000.0, benefit=3.0))
     for g in controller.groups:
         g.mean_run_ms = 200.0
@@ -308,36 +310,34 @@
     assert [op.exchange.group for op in of(ops, Start)].count(1) == 3 and len(of(ops, Start)) == 4
 
 
-def test_the_hold_is_longer_where_reading_is_dear() -> None:
-    held = []
+def test_queue_is_longer_where_reading_is_expensive() -> None:
+    queued = []
     for waited in (10.0, 100.0):
         controller, _ = backend(group(timeout=60_000.0))
         fill(controller, 40, left=60_000.0, waited=waited)
-        held.append(controller.queued_count)
-    assert 0 < held[0] < held[1]
-
+        queued.append(controller.queued_count)
+    assert 0 < queued[0] < queued[1]
 
-def test_a_tenant_beyond_its_part_is_worth_less() -> None:
-    from myrtlecrank.policy.interface import Tenant
 
+def test_tenant_beyond_its_allowance_has_less_value() -> None:
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
     controller, _ = backend(tenants=tenants, over_share_benefit=0.05, backends=2)
     fill(controller, 60, tenant=0)
-    a, b = arrive(controller, 0.0, tenant=0), arrive(controller, 0.0, tenant=1)
-    assert a.course.value < 0.5 * b.course.value
+    beyond, within = arrive(controller, 0.0, tenant=0), arrive(controller, 0.0, tenant=1)
+    assert beyond.course.value < 0.5 * within.course.value
 
 
-def test_how_many_run_grows_while_cores_idle_and_shrinks_in_a_crowd() -> None:
+def test_run_limit_grows_while_cores_idle_and_shrinks_at_high_concurrency() -> None:
     controller, _ = backend()
     fill(controller, 6)
-    beats(controller, 0.0, 5, Gauges(0.5, 2.0, 0.1, 1.0))
+    samples(controller, 0.0, 5, Gauges(0.5, 2.0, 0.1, 1.0))
     grown = controller.run_limit
     assert grown > 4.0
-    beats(controller, 500.0, 30, Gauges(1.0, 12.0, 0.1, 1.0))
+    samples(controller, 500.0, 30, Gauges(1.0, 12.0, 0.1, 1.0))
     assert controller.run_limit < grown
 
 
-def test_how_full_the_cores_should_be_follows_the_work_that_ends() -> None:
+def test_extra_concurrency_follows_the_finished_work() -> None:
     controller, _ = backend()
     fill(controller, 6)
     (
@@ -347,23 +347,23 @@
         controller.previous_finished_work_ms,
     ) = 29, 29, 10.0, 9.0
     start = controller.extra_concurrency
-    beats(controller, 0.0, 1)
+    samples(controller, 0.0, 1)
     up = controller.extra_concurrency
     controller.samples, controller.backlogged_samples, controller.finished_work_ms = 29, 29, 5.0
-    beats(controller, 100.0, 1)
+    samples(controller, 100.0, 1)
     assert start < up and controller.extra_concurrency < up
 
 
-# Defences
+# Protections: published value, health, idle connections
 
 
-def test_the_published_value_falls_with_waiting_and_recovers() -> None:
+def test_published_value_falls_with_waiting_and_recovers() -> None:
     controller, ops = backend(published_value_kind=PublishedValueKind.WEIGHT, backends=10)
     fill(controller, 6, waited=0.0)
     controller.mean_read_delay_ms = 2000.0
     controller._publish()
-    said = of(ops, Publish)[-1].value
-    assert said < 1.0
+    published = of(ops, Publish)[-1].value
+    assert published < 1.0
     controller.mean_read_delay_ms = 0.0
     controller.groups[0].queue.clear()
     for _ in range(60):
@@ -371,7 +371,7 @@
     assert of(ops, Publish)[-1].value > 0.95
 
 
-def test_the_weight_never_closes_quite() -> None:
+def test_weight_never_falls_below_its_minimum() -> None:
     controller, _ = backend(published_value_kind=PublishedValueKind.WEIGHT, backends=10)
     controller.least_read_delay_ms, controller.mean_read_delay_ms = 0.0, 1e6
     for _ in range(100):
@@ -379,7 +379,7 @@
     assert controller.openness == MIN_WEIGHT
 
 
-def test_advised_waits_are_spread() -> None:
+def test_advised_waits_are_random() -> None:
     controller, ops = backend()
     controller.mean_read_delay_ms = 500.0
     controller.memory_gauge = 0.9
@@ -388,61 +388,61 @@
     assert len(waits) == 20 and max(waits) <= 1000.0
 
 
-def test_bad_health_where_nothing_finishes_and_good_again_when_it_does() -> None:
+def test_health_is_bad_while_no_run_ends_and_good_again_after() -> None:
     controller, ops = backend(group(timeout=60_000.0))
-    exes = fill(controller, 4, left=60_000.0)
-    now = beats(controller, 0.0, 12)
+    exchanges = fill(controller, 4, left=60_000.0)
+    now = samples(controller, 0.0, 12)
     assert [op.is_healthy for op in of(ops, Health)] == [False]
-    for ex in exes:
-        controller.finished(ex, Outcome.OK, now, now)
+    for exchange in exchanges:
+        controller.finished(exchange, Outcome.OK, now, now)
     controller.least_read_delay_ms = 1.0
-    beats(controller, now + 6000.0, 1)
+    samples(controller, now + 6000.0, 1)
     assert [op.is_healthy for op in of(ops, Health)] == [False, True]
     assert controller.least_read_delay_ms > 1.0
 
 
-def test_no_comeback_while_the_work_still_hangs() -> None:
+def test_health_stays_bad_while_runs_hang() -> None:
     controller, ops = backend(group(timeout=60_000.0))
     fill(controller, 4, left=60_000.0)
-    beats(controller, 0.0, 200)
+    samples(controller, 0.0, 200)
     assert [op.is_healthy for op in of(ops, Health)] == [False]
 
 
-def test_one_that_reads_only_stale_arrivals_stays_away() -> None:
+def test_backend_that_reads_only_stale_arrivals_shows_bad_health() -> None:
     controller, ops = backend(group(late_benefit=0.0))
     controller.least_read_delay_ms = 50.0
     arrive(controller, 0.0, waited=3000.0)
-    now = beats(controller, 0.0, CPU_WINDOW_SAMPLES)
+    now = samples(controller, 0.0, CPU_WINDOW_SAMPLES)
     assert [op.is_healthy for op in of(ops, Health)] == [False]
     for _ in range(7):
         arrive(controller, now, waited=3000.0)
-        now = beats(controller, now, CPU_WINDOW_SAMPLES)
+        now = samples(controller, now, CPU_WINDOW_SAMPLES)
     assert [op.is_healthy for op in of(ops, Health)] == [False]
-    beats(controller, now, 2 * CPU_WINDOW_SAMPLES)
+    samples(controller, now, 2 * CPU_WINDOW_SAMPLES)
     assert [op.is_healthy for op in of(ops, Health)] == [False, True]
 
 
-def test_plain_load_is_no_sickness() -> None:
+def test_plain_load_keeps_good_health() -> None:
     controller, ops = backend()
     for i in range(200):
-        ex = arrive(controller, 50.0 * i)
-        controller.finished(ex, Outcome.OK, 300.0, 50.0 * i)
+        exchange = arrive(controller, 50.0 * i)
+        controller.finished(exchange, Outcome.OK, 300.0, 50.0 * i)
         controller.alarm("beat", BUSY, 50.0 * i)
     assert not of(ops, Health)
 
 
 def test_idle_connections_are_closed_early_only_while_many_are_open() -> None:
     controller, ops = backend(idle=30_000.0)
-    for beat in range(1, 7):
-        controller.alarm("beat", Gauges(connections=500.0), 100.0 * beat)
+    for sample in range(1, 7):
+        controller.alarm("beat", Gauges(connections=500.0), 100.0 * sample)
     spans = [op.timeout for op in of(ops, IdleLimit)]
     assert len(spans) == 2 and 30_000.0 > spans[0] > spans[1]
-    for beat in range(7, 60):
-        controller.alarm("beat", Gauges(connections=3.0), 100.0 * beat)
+    for sample in range(7, 60):
+        controller.alarm("beat", Gauges(connections=3.0), 100.0 * sample)
     assert of(ops, IdleLimit)[-1].timeout == 30_000.0
 
 
-def test_denials_are_final_unless_this_backend_alone_is_to_blame() -> None:
+def test_denials_are_final_unless_this_backend_is_unhealthy() -> None:
     controller, ops = backend()
     filled = fill(controller, 40)
     assert {op.is_final for op in of(ops, Deny)} == {True} and len(filled) == 40
@@ -452,12 +452,12 @@
     assert {op.is_final for op in of(ops, Deny)} == {False}
 
 
-def test_a_storm_of_handshakes_is_no_sickness() -> None:
+def test_many_handshakes_keep_good_health() -> None:
     controller, ops = backend()
     controller.least_read_delay_ms = 50.0
     arrive(controller, 0.0, left=100.0, waited=3000.0)
     controller.mean_on_cores = 30.0
-    beats(controller, 0.0, CPU_WINDOW_SAMPLES, Gauges(1.0, 30.0, 0.1, 50.0))
+    samples(controller, 0.0, CPU_WINDOW_SAMPLES, Gauges(1.0, 30.0, 0.1, 50.0))
     assert not of(ops, Health)
 
 
@@ -465,16 +465,16 @@
     ("kind", "cpu", "answer"),
     [(Kind.REPEATABLE, 1.0, Deny), (Kind.REPEATABLE, 0.5, Fail), (Kind.MUTATING, 1.0, Fail)],
 )
-def test_a_run_out_of_time_is_denied_only_under_pressure(kind: Kind, cpu: float, answer: type) -> None:
+def test_run_out_of_time_is_denied_only_under_pressure(kind: Kind, cpu: float, answer: type) -> None:
     controller, ops = backend(group(kind))
     controller.cpu_samples.extend([cpu] * CPU_WINDOW_SAMPLES)
-    ex = arrive(controller, 0.0)
+    exchange = arrive(controller, 0.0)
     controller.settle(3900.0)
-    assert [type(op) for op in answers(ops, ex)] == [answer]
-    assert of(ops, Halt, ex)
+    assert [type(op) for op in answers(ops, exchange)] == [answer]
+    assert of(ops, Halt, exchange)
 
 
-def test_of_a_line_the_highest_value_starts_first_and_the_eldest_among_equals() -> None:
+def test_highest_value_of_a_queue_starts_first_and_the_eldest_among_equals() -> None:
     tenants = [Tenant("a", 0.5, 1.0), Tenant("b", 0.5, 1.0)]
     controller, ops = backend(cores=1, tenants=tenants, over_share_benefit=0.05)
     controller.tenant_rates = [0.01, 0.0]
@@ -486,7 +486,7 @@
     assert [op.exchange for op in of(ops, Start)] == within[:1]
 
 
-def test_the_rate_of_a_tenant_with_a_small_share_is_taken_over_a_longer_time() -> None:
+def test_rate_of_a_tenant_with_a_small_allowance_is_measured_over_a_longer_window() -> None:
     controller, _ = backend(tenants=[Tenant("large", 0.9, 90.0), Tenant("small", 0.1, 0.5)])
     arrive(controller, 0.0)
     arrive(controller, 0.0, tenant=1)
@@ -495,18 +495,18 @@
     ] == pytest.approx(1 / 12_000)
 
 
-def held_when_full(cores: int, waited: float) -> int:
+def queued_when_full(cores: int, waited: float) -> int:
     controller, _ = backend(cores=cores)
     fill(controller, 60, waited=waited)
     return controller.queued_count
 
 
-def test_the_hold_takes_as_many_on_any_number_of_cores_but_no_more_than_is_of_use() -> None:
-    assert held_when_full(2, 0.0) == held_when_full(6, 0.0) > 2
-    assert held_when_full(1, 100.0) == 5  # 0.8 of the SLO time, where runs take a fifth
+def test_queue_length_does_not_depend_on_cores_but_is_bounded_by_the_slo_time() -> None:
+    assert queued_when_full(2, 0.0) == queued_when_full(6, 0.0) > 2
+    assert queued_when_full(1, 100.0) == 5  # 0.8 of the SLO time, where runs take a fifth
 
 
-def test_readings_and_handshakes_never_push_runs_below_one_a_core() -> None:
+def test_reads_and_handshakes_never_push_runs_below_one_a_core() -> None:
     controller, _ = backend()
-    beats(controller, 0.0, 100, Gauges(1.0, 40.0, 0.1, 50.0))
+    samples(controller, 0.0, 100, Gauges(1.0, 40.0, 0.1, 50.0))
     assert controller.run_limit == 4.0
--- a/tests/test_controller_retry_storm.py
+++ b/tests/test_controller_retry_storm.py
@@ -1,4 +1,4 @@
-"""What the module does while a storm of repeats is on, and that it does none of it otherwise."""
+"""What the controller does in a retry storm, and that it does none of it otherwise."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 CALM, STORM = Gauges(1.0, 6.0, 0.1, 1.0), Gauges(1.0, 6.0, 0.1, 1.0, storm=True)
 
 
-def stormy(storm: bool = True, **facts: object) -> tuple[Controller, list[object]]:
+def in_storm(storm: bool = True, **facts: object) -> tuple[Controller, list[object]]:
     controller, ops = backend(**facts)  # type: ignore[arg-type]
     controller.alarm("beat", STORM if storm else CALM, 0.0)
     controller.least_read_delay_ms, controller.mean_read_delay_ms = 50.0, 0.0
@@ -24,47 +24,47 @@
 
 
 def started(controller: Controller, ops: list[object]) -> Exchange:
-    """What the next free place goes to."""
+    """The exchange that starts when one more may run."""
     ops.clear()
     controller.run_limit = len(controller.running) + 1.0
     controller.settle(1.0)
     return of(ops, Start)[0].exchange
 
 
-def test_one_whose_denial_sheds_nothing_is_held_as_long_as_its_turn_comes_in_time() -> None:
-    controller, _ = stormy(cores=1)
+def test_caller_that_ignores_backpressure_is_queued_while_its_start_is_in_time() -> None:
+    controller, _ = in_storm(cores=1)
     fill(controller, 40)
-    held = controller.queued_count
-    deaf = fill(controller, 1, deaf=True)[0]
-    assert controller.queued_count == held + 1
-    assert deaf.course.phase is Phase.QUEUED
+    queued = controller.queued_count
+    noncompliant = fill(controller, 1, deaf=True)[0]
+    assert controller.queued_count == queued + 1
+    assert noncompliant.course.phase is Phase.QUEUED
 
 
-def test_one_whose_turn_would_come_too_late_is_denied_at_once() -> None:
-    controller, ops = stormy(cores=1)
+def test_exchange_that_would_start_too_late_is_denied_on_arrival() -> None:
+    controller, ops = in_storm(cores=1)
     fill(controller, 40, deaf=True)
     late = arrival(left=300.0, waited=50.0, deaf=True)
     controller.arrived(late, 0.0)
     assert [type(op) for op in answers(ops, late)] == [Deny]
 
 
-def test_the_dearer_its_denial_the_sooner_it_runs() -> None:
-    controller, ops = stormy(cores=1)
+def test_the_more_expensive_its_denial_the_sooner_an_exchange_runs() -> None:
+    controller, ops = in_storm(cores=1)
     fill(controller, 3)
-    deaf = fill(controller, 1, deaf=True)[0]
-    assert started(controller, ops) is deaf
+    noncompliant = fill(controller, 1, deaf=True)[0]
+    assert started(controller, ops) is noncompliant
 
 
-def test_near_its_due_time_a_denial_is_cheap_and_the_order_is_the_usual_one() -> None:
-    controller, _ = stormy(cores=1)
-    plain, deaf = fill(controller, 2)[1], arrive(controller, 0.0, waited=50.0, left=1000.0, deaf=True)
+def test_near_the_deadline_a_denial_is_cheap_and_the_order_is_the_usual_one() -> None:
+    controller, _ = in_storm(cores=1)
+    plain, noncompliant = fill(controller, 2)[1], arrive(controller, 0.0, waited=50.0, left=1000.0, deaf=True)
     controller.now = 990.0
-    assert deaf.course.value == plain.course.value
-    assert controller._value_now(deaf.course) < 1.25 * deaf.course.value
+    assert noncompliant.course.value == plain.course.value
+    assert controller._value_now(noncompliant.course) < 1.25 * noncompliant.course.value
 
 
-def test_a_repeat_too_old_for_its_slo_time_goes_last() -> None:
-    controller, ops = stormy(cores=1)
+def test_retry_too_old_for_its_slo_time_goes_last() -> None:
+    controller, ops = in_storm(cores=1)
     fill(controller, 1)
     old = arrive(controller, 0.0, waited=50.0, likely=0.9, age=1500.0)
     fresh = fill(controller, 1)[0]
@@ -72,7 +72,7 @@
     assert old.course.phase is Phase.QUEUED
 
 
-def test_a_repeat_that_can_earn_nothing_is_denied_on_arrival() -> None:
+def test_retry_that_can_earn_no_benefit_is_denied_on_arrival() -> None:
     controller, ops = backend(group(late_benefit=0.0), cores=1)
     controller.alarm("beat", STORM, 0.0)
     old = arrive(controller, 0.0, left=2000.0, likely=0.9, age=1500.0)
@@ -80,8 +80,8 @@
 
 
 @pytest.mark.parametrize("storm", [True, False])
-def test_callers_hear_a_credit_below_one_only_in_a_storm(storm: bool) -> None:
-    controller, ops = stormy(storm, published_value_kind=PublishedValueKind.CREDIT)
+def test_credit_below_one_is_published_only_in_a_retry_storm(storm: bool) -> None:
+    controller, ops = in_storm(storm, published_value_kind=PublishedValueKind.CREDIT)
     controller.mean_read_delay_ms = 5000.0
     for at in range(1, 60):
         controller.mean_read_delay_ms = 5000.0
@@ -90,31 +90,31 @@
     assert least == (0.5 if storm else 1.0)
 
 
-def test_out_of_a_storm_all_is_as_without_the_estimate() -> None:
-    plain, told = stormy(False, cores=2), stormy(False, cores=2)
+def test_without_a_retry_storm_the_estimate_changes_nothing() -> None:
+    plain, estimated = in_storm(False, cores=2), in_storm(False, cores=2)
     for i in range(60):
         facts = {"waited": 50.0, "kb": 10.0 + i}
         arrive(plain[0], i * 5.0, **facts)  # type: ignore[arg-type]
-        arrive(told[0], i * 5.0, likely=0.9, age=700.0, deaf=True, **facts)  # type: ignore[arg-type]
+        arrive(estimated[0], i * 5.0, likely=0.9, age=700.0, deaf=True, **facts)  # type: ignore[arg-type]
 
-    def story(ops: list[object]) -> list[tuple[str, float]]:
+    def operations(ops: list[object]) -> list[tuple[str, float]]:
         return [(type(op).__name__, op.exchange.kb) for op in ops if hasattr(op, "exchange")]
 
-    assert story(plain[1]) == story(told[1])
+    assert operations(plain[1]) == operations(estimated[1])
 
 
-def test_a_storm_that_ends_or_is_turned_off_in_its_middle_leaves_nothing_without_an_answer() -> None:
-    controller, ops = stormy(cores=1)
+def test_retry_storm_that_ends_leaves_no_exchange_unanswered() -> None:
+    controller, ops = in_storm(cores=1)
     many = fill(controller, 60, deaf=True)
     controller.alarm("beat", CALM, 100.0)
     for at in range(2, 50):
         controller.settle(at * 100.0)
-    assert all(len(answers(ops, ex)) == 1 for ex in many)
+    assert all(len(answers(ops, exchange)) == 1 for exchange in many)
 
 
-def test_in_a_storm_the_hold_is_as_long_as_its_turns_come_in_time_for_those_that_heed_too() -> None:
-    calm, _ = stormy(False, cores=4)
-    storm, ops = stormy(cores=4)
+def test_in_a_retry_storm_the_queue_is_longer_while_starts_are_in_time() -> None:
+    calm, _ = in_storm(False, cores=4)
+    storm, ops = in_storm(cores=4)
     for controller in (calm, storm):
         fill(controller, 60)
     assert storm.queued_count > calm.queued_count
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -30,12 +30,12 @@
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
-def test_a_batch_is_answered_and_the_end_of_input_is_quiet() -> None:
+def test_batch_is_answered_and_the_end_of_input_is_quiet() -> None:
     reply = play(TURN, START, INBOUND, FLUSH)
     assert {"msg": "take", "call": 5, "backendId": 3} in reply and reply[-1] == {"msg": "next"}
 
 
-def test_a_restart_under_the_same_number_knows_nothing() -> None:
+def test_restart_under_the_same_number_forgets_its_exchanges() -> None:
     later = {"msg": "result", "backendId": 3, "call": 5, "rc": 10, "costTime": 1}
     reply = play(TURN, START, INBOUND, FLUSH, TURN, {"msg": "retire", "backendId": 3}, START, later, FLUSH)
     assert [row["msg"] for row in reply].count("next") == 2
@@ -56,18 +56,18 @@
         (TURN, "begins a batch inside another"),
     ],
 )
-def test_a_malformed_line_is_named(row: Any, message: str) -> None:
+def test_error_names_the_malformed_line(row: Any, message: str) -> None:
     with pytest.raises(ProtocolError, match=message) as caught:
         play(TURN, START, row, FLUSH)
     assert "line 3" in str(caught.value)
 
 
-def test_a_batch_cut_short_is_an_error() -> None:
+def test_input_that_ends_inside_a_batch_is_an_error() -> None:
     with pytest.raises(ProtocolError, match="inside a batch"):
         play(TURN, START)
 
 
-def test_an_exception_in_the_decisions_becomes_a_panic(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_controller_is_reported_as_a_panic(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise RuntimeError("boom")
 
@@ -78,7 +78,7 @@
     assert json.loads(out.getvalue().splitlines()[0])["text"] == "RuntimeError: boom"
 
 
-def test_instances_of_the_simulator_take_the_estimate_of_repeats_as_the_backend_does() -> None:
+def test_simulated_backend_uses_the_retry_estimate() -> None:
     one = host.Instance(3, Fields(START, "start"), 0.0, Bounds(least_arrivals=1, begin_ms=0.0))
     assert one.repeats is not None
     for call in range(1, 400):
