--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -59,7 +59,7 @@
 TENANT_RATE_WINDOW_MS = 3000.0
 TENANT_RATE_EVENTS = 6.0  # the window is longer where it would cover fewer arrivals than this
 
-# Longest wait in the queue, as a multiple of the SLO time, times the cores
+# Longest wait in the queue, as a multiple of the SLO time, divided by the cores
 MIN_QUEUE_WAIT = 0.5
 QUEUE_WAIT_FOR_READING = 3.0  # more for each mean run time that reading an arrival takes
 MAX_READING_OF_RUN = 0.5
@@ -255,7 +255,7 @@
             group.kind is Kind.DEDUPLICATED or self.shared_result_lifetime_ms > 0
         ):
             return (yield from self._original_flow(state))
-        if self._is_rejected(state):
+        if self._must_deny(state):
             return (yield self._denial(state))
         if group.kind is Kind.DEDUPLICATED:
             yield self._cache_result(state, group.deduplication_window)
@@ -466,39 +466,47 @@
                 value *= max(LATE_VALUE_FRACTION, state.group.late_benefit)
         return value
 
-    def _is_rejected(self, state: ExchangeState) -> bool:
+    def _must_deny(self, state: ExchangeState) -> bool:
         """Whether an arrival is denied; where the queue is full, may deny a queued exchange in its place."""
         latest_start = min(self._latest_useful_start(state), self.stop_at - 2.0 * self.answer_margin_ms)
         if self.now > latest_start or state.reached_at > self.drain_ends_at:
             return True
         if max(self.memory_gauge, self.used_kb / self.memory_kb) > REJECT_MEMORY_FRACTION:
             return True
-        # The dearer reading is beside a run, the more a denial wastes, here and where it is tried next.
-        mean_run_ms = sum(group.mean_run_ms for group in self.groups) / len(self.groups)
-        reading_of_run = min(MAX_READING_OF_RUN, self.least_read_delay_ms / mean_run_ms)
-        max_wait_of_slo = (MIN_QUEUE_WAIT + QUEUE_WAIT_FOR_READING * reading_of_run) / self.cores
-        if not (self.queued_count and self._mean_cpu() > REJECT_CPU_FRACTION):
-            max_wait_of_slo *= CALM_QUEUE_WAIT_MULTIPLE
-        # One length for all groups, or those with short SLO times starve.
+        max_wait_ms = self._max_queue_wait_ms()
         wait_ms = self._queue_wait_ms()
-        if wait_ms <= min(MAX_QUEUE_WAIT, max_wait_of_slo) * self.shortest_slo:
+        if wait_ms <= max_wait_ms:
             return False
         if self.is_retry_storm:
             # Denials of a full queue cost more than they shed: what would start in time stays.
-            start_by = (
-                self._latest_useful_start(state)
-                if state.exchange.deaf
-                else state.reached_at + MAX_QUEUE_WAIT * state.group.slo
-            )
+            if state.exchange.deaf:
+                start_by = self._latest_useful_start(state)
+            else:
+                start_by = state.reached_at + MAX_QUEUE_WAIT * state.group.slo
             if self.now + wait_ms <= start_by:
                 return False
-        # The queue is full: of the arrival and all queued, the one of least value is denied.
+        return not self._displace_queued(state)
+
+    def _max_queue_wait_ms(self) -> float:
+        """The longest wait in the queue; one for all groups, or those with short SLO times would starve.
+
+        The more reading costs beside a run, the more a denial wastes, here and where it is tried next.
+        """
+        mean_run_ms = sum(group.mean_run_ms for group in self.groups) / len(self.groups)
+        reading_of_run = min(MAX_READING_OF_RUN, self.least_read_delay_ms / mean_run_ms)
+        max_wait_of_slo = (MIN_QUEUE_WAIT + QUEUE_WAIT_FOR_READING * reading_of_run) / self.cores
+        if not (self.queued_count and self._mean_cpu() > REJECT_CPU_FRACTION):
+            max_wait_of_slo *= CALM_QUEUE_WAIT_MULTIPLE
+        return min(MAX_QUEUE_WAIT, max_wait_of_slo) * self.shortest_slo
+
+    def _displace_queued(self, arrival: ExchangeState) -> bool:
+        """Denies the queued exchange of least value if the arrival has more; returns whether it did."""
         queues = [group.queue for group in self.groups if group.queue]
         least = min((min(queue, key=self._value_now) for queue in queues), key=self._value_now)
-        if self._value_now(least) >= DISPLACEMENT_FRACTION * self._value_now(state):
-            return True
+        if self._value_now(least) >= DISPLACEMENT_FRACTION * self._value_now(arrival):
+            return False
         self._resume(least, ResumeReason.DISPLACED)
-        return False
+        return True
 
     def _mean_cpu(self) -> float:
         if len(self.cpu_samples) < CPU_WINDOW_SAMPLES:
@@ -546,8 +554,8 @@
         """Starts queued exchanges while there is capacity.
 
         The queues share the starts by the value of their eldest exchange, and carry over what they do not
-        get. In a queue the highest value goes first, the eldest among equals: so tenants within their share
-        come before those beyond it.
+        get. In a queue the highest value goes first, the eldest among equals: so tenants within their
+        allowance come before those beyond it.
         """
         while self.queued_count and len(self.running) < self._run_capacity():
             waiting = [group for group in self.groups if group.queue]
