--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -77,14 +77,14 @@
     assert controller
     play.turn(100.0)
     (sample,) = play.commands(Sample)
-    assert controller.beats == 0
+    assert controller.samples == 0
     play.turn(104.0, Sampled(sample.tag, Gauges(0.5)))
-    assert controller.beats == 1 and play.core.alarm_due == 200.0
+    assert controller.samples == 1 and play.core.alarm_due == 200.0
     play.turn(200.0)
     play.turn(300.0)
-    assert controller.beats == 2
+    assert controller.samples == 2
     play.turn(301.0, Sampled(play.commands(Sample)[1].tag, Gauges(0.5)))
-    assert controller.beats == 2
+    assert controller.samples == 2
 
 
 def test_entries_in_doubt_are_settled_after_the_reports_that_a_reconnection_brings() -> None:
@@ -176,7 +176,12 @@
     play = Play(greeted=False)
     play.turn(1000.0, Greeted(True, 600.0))
     controller = play.core.controller
-    assert controller and controller.born == 400.0 and controller.cold_from == 0.2 and play.health == [True]
+    assert (
+        controller
+        and controller.machine_started_at == 400.0
+        and controller.initial_warmth == 0.2
+        and play.health == [True]
+    )
 
 
 def test_an_abandoned_exchange_gets_no_answer_and_its_run_is_cancelled() -> None:
@@ -268,7 +273,7 @@
     play.turn(9.0, RunEnded("aa", Outcome.OK, 9.0, b""))
     del ex
     assert play.core.controller
-    play.core.controller.dues.clear()
+    play.core.controller.timers.clear()
     gc.disable()
     try:
         assert course() is None
@@ -335,7 +340,7 @@
     assert [c.ident for c in play.commands(Launch)] == ["aa", "bb", "cc"]
     assert "dd" not in play.core.entries_by_id
     controller = play.core.controller
-    assert controller and controller.born == 280.0 and controller.warmth() < 0.25
+    assert controller and controller.machine_started_at == 280.0 and controller.warmth() < 0.25
 
 
 def test_reads_of_the_same_subject_share_a_result_while_it_is_fresh() -> None:
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -266,7 +266,7 @@
     """The core's actor with a dependency."""
 
     def __init__(self, kind: Kind = Kind.REPEATABLE, **others: Any) -> None:
-        super().__init__(group(kind, calls=True, **others), below=Below.TIER)
+        super().__init__(group(kind, may_call=True, **others), below=Below.TIER)
         self.asked: list[Any] = []
         self.core.below = self.asked.append
 
@@ -283,7 +283,7 @@
     assert play.commands(Deliver) == [Deliver("aa", b"result")]
     play.turn(60.0, RunEnded("aa", Outcome.OK, 60.0, b"done"))
     assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.entries_by_id
-    assert play.core.controller and play.core.controller.calls == 0
+    assert play.core.controller and play.core.controller.calls_in_flight == 0
 
 
 @pytest.mark.parametrize(("kind", "calls"), [(Kind.REPEATABLE, 2), (Kind.MUTATING, 1)])
@@ -304,7 +304,7 @@
 
 
 def test_failed_call_is_skipped_where_the_exchange_keeps_a_benefit() -> None:
-    play = CallingPlay(Kind.MUTATING, benefit_without=0.5)
+    play = CallingPlay(Kind.MUTATING, benefit_without_call=0.5)
     play.at_call()
     play.turn(50.0, CallEnded("aa", Outcome.ERROR, b""))
     assert play.commands(Forgo) == [Forgo("aa")] and not play.answers
@@ -397,25 +397,25 @@
     play = CallingPlay(kind)
     controller = play.core.controller
     assert controller
-    controller.calls_at_most = 1.0
+    controller.max_calls = 1.0
     if place == "parked":
         play.ask("zz", 0.0)
         play.turn(1.0, AtCall("zz", b"q"))
     ticket = play.ask("aa", 0.0)
     play.turn(1.0, AtCall("aa", b"q"))
     made = len([one for one in play.asked if isinstance(one, Call)])
-    assert len(controller.parked) == (place == "parked") and made == 1
+    assert len(controller.waiting_for_call) == (place == "parked") and made == 1
     if left:
         play.turn(2.0, CallersLeft([ticket]))
     play.turn(3.0, RunEnded("aa", outcome, 3.0, b"r"))
     play.turn(4.0, CallEnded("aa", Outcome.OK, b"late"))
-    assert "aa" not in play.core.entries_by_id and not controller.parked
+    assert "aa" not in play.core.entries_by_id and not controller.waiting_for_call
     assert [one for one in play.asked if isinstance(one, Call)][made:] == []
     assert len(play.answers) == (not left)
     if place == "parked":
         play.turn(5.0, CallEnded("zz", Outcome.OK, b"r"), RunEnded("zz", Outcome.OK, 5.0, b"r"))
     play.turn(900.0)  # an abandoned call may stay with the dependency for a while
-    assert controller.calls == 0 and not controller.running
+    assert controller.calls_in_flight == 0 and not controller.running
 
 
 def test_machine_restart_ends_a_pending_call() -> None:
@@ -425,7 +425,7 @@
     play.turn(70.0, Greeted(True, 5.0, anew=True))
     play.turn(900.0, CallEnded("aa", Outcome.OK, b"late"))
     assert [a.ticket.ident for a in play.answers] == ["aa"] and play.asked[-1] == Abandon("aa")
-    assert not play.core.entries_by_id and play.core.controller and play.core.controller.calls == 0
+    assert not play.core.entries_by_id and play.core.controller and play.core.controller.calls_in_flight == 0
 
 
 def test_unexpected_call_does_not_end_the_exchange() -> None:
--- a/tests/test_keyed_exchanges.py
+++ b/tests/test_keyed_exchanges.py
@@ -27,7 +27,7 @@
 
 def keyed(**others: Any) -> Play:
     """A core actor with one deduplicated endpoint group."""
-    return Play(group(Kind.DEDUPLICATED, window=5000.0), **({"idle": 30_000.0} | others))
+    return Play(group(Kind.DEDUPLICATED, deduplication_window=5000.0), **({"idle": 30_000.0} | others))
 
 
 def verdicts(play: Play) -> list[tuple[str, Verdict, bytes]]:
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("how", ["denied", "left", "refused"])
 def test_a_first_try_that_never_ran_does_not_block_its_retry(how: str) -> None:
-    play = keyed(cores=1, crowd_per_core=1.0)
+    play = keyed(cores=1, survivable_concurrency_per_core=1.0)
     if how != "refused":
         play.ask("zz", 0.0, about="other")  # takes all capacity
     first = play.ask("aa", 1.0, about="k", wait=300.0)
@@ -162,7 +162,7 @@
 
 
 def test_the_memory_of_a_key_that_never_ran_is_freed_at_once_and_only_once() -> None:
-    controller, ops = backend(group(Kind.DEDUPLICATED, window=5000.0), key_kb=100.0)
+    controller, ops = backend(group(Kind.DEDUPLICATED, deduplication_window=5000.0), key_kb=100.0)
     exchange = arrival()
     controller.arrived(exchange, 0.0)
     controller.settle(0.0)
