--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -16,10 +16,10 @@
 
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.published_state import Board
-from myrtlecrank.fleet.member import Fleet, Plan
-from myrtlecrank.fleet.membership.messages import Rumour, State
-from myrtlecrank.fleet.membership.swim import Pace
-from myrtlecrank.fleet.messages import Message, Report, Reseat, Row, StepDown, Tell
+from myrtlecrank.fleet.member import FleetConfig, FleetMember
+from myrtlecrank.fleet.membership.messages import MemberUpdate, State
+from myrtlecrank.fleet.membership.swim import MembershipTiming
+from myrtlecrank.fleet.messages import Message, Query, ReplaceVoters, Report, Row, StepDown
 from myrtlecrank.fleet.monitor.messages import Gauges
 from myrtlecrank.fleet.options import Bounds, address, taken_over, waiting
 from myrtlecrank.fleet.ownership.lease import Terms, member_of
@@ -31,7 +31,7 @@
 from myrtlecrank.fleet.register.messages import Memory, Seated
 from myrtlecrank.fleet.register.reconfiguration import Reseated
 from myrtlecrank.fleet.step_client import Receiver
-from myrtlecrank.fleet.step_scheduler import Effect, Work
+from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 
 MAILBOX = 4096
 REJOIN_MS = 500.0
@@ -45,8 +45,8 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6
 
 
-def plan_of(bounds: Bounds) -> Plan:
-    pace = Pace(
+def plan_of(bounds: Bounds) -> FleetConfig:
+    pace = MembershipTiming(
         bounds.probe_ms,
         bounds.probe_reply_ms,
         bounds.helpers,
@@ -56,10 +56,10 @@
     )
     duties = bounds.duties.items()
     works = tuple(
-        Work(name, one.every_ms, one.deadline_ms, one.back_off_ms, one.share) for name, one in duties
+        DutySchedule(name, one.every_ms, one.deadline_ms, one.back_off_ms, one.share) for name, one in duties
     )
     terms = Terms.of(bounds.lease_ms, bounds.drift, bounds.lease_ms / 4.0)
-    return Plan(
+    return FleetConfig(
         bounds.voters, works, terms, pace, bounds.reply_ms, bounds.even_ms, bounds.watch_ms, bounds.together
     )
 
@@ -156,15 +156,17 @@
         self.bounds, self.name = bounds, name
         self.mailbox: Mailbox[Letter] = Mailbox(MAILBOX)
         addresses = {one: address(at.at) or ("", 0) for one, at in bounds.members.items()}
-        me = Rumour(name, addresses[name], bounds.members[name].zone, int(time.time()), State.ALIVE, False)
+        me = MemberUpdate(
+            name, addresses[name], bounds.members[name].zone, int(time.time()), State.ALIVE, False
+        )
         # Unlike any other start of any process, ever: two starts that shared it could look like one owner.
         start = uuid.uuid4().hex[:16]
-        self.fleet = Fleet(me, start, addresses, plan_of(bounds), Random(seed).random, mono_ms())
+        self.fleet = FleetMember(me, start, addresses, plan_of(bounds), Random(seed).random, mono_ms())
         self.links = Links(bounds.name, name, addresses, bounds.queue, self.heard, self.asked)
         # Whoever has a folder may be made a voter while it runs.
         self.voter = VoterActor(bounds, name, start, self.send) if bounds.folder else None
         self.receivers = {
-            one: Receiver(address(duty.to) or ("", 0), self.fleet.ident)
+            one: Receiver(address(duty.to) or ("", 0), self.fleet.owner_id)
             for one, duty in bounds.duties.items()
         }
         self.away_since: float | None = None  # since when the register has not answered
@@ -180,13 +182,13 @@
         only."""
         self.fleet.gauges = Gauges(board.well, board.warmth, board.late, board.value, storm)
         fit = board.well and board.warmth >= WARM
-        if fit is not self.fleet.members.me.fit:
+        if fit is not self.fleet.membership.local.eligible:
             self.mailbox.post(Feel(fit))
 
     def retune(self, bounds: Bounds) -> None:
         """Of a file that was read anew, what can hold at once does."""
         self.bounds = taken_over(self.bounds, bounds)
-        self.fleet.retune(plan_of(self.bounds))
+        self.fleet.apply_config(plan_of(self.bounds))
         self.mailbox.wake()
         left = waiting(self.bounds, bounds)
         if "voters" in left:
@@ -228,38 +230,38 @@
             for letter in letters:
                 match letter:
                     case Heard(sender, message):
-                        fleet.heard(sender, message, now)
+                        fleet.handle(sender, message, now)
                     case Did(effect, taken):
-                        fleet.did(effect, taken, now)
+                        fleet.finish_effect(effect, taken, now)
                     case Feel(fit):
-                        fleet.feel(fit)
+                        fleet.set_eligible(fit)
                     case Depart():
                         fleet.leave(now)
             fleet.tick(mono_ms())
             self._carry_out()
 
     def _carry_out(self) -> None:
-        out, self.fleet.out = self.fleet.out, []
+        out, self.fleet.outgoing = self.fleet.outgoing, []
         for to, message in out:
             self.send(to, message)
         effects, self.fleet.effects = self.fleet.effects, []
         for effect in effects:
             gevent.spawn(self._effect, effect)
-        for name, state in self.fleet.members.changes:
+        for name, state in self.fleet.membership.state_changes:
             logger.info("fleet member {} is {}", name, state.name.lower())
-        self.fleet.members.changes.clear()
+        self.fleet.membership.state_changes.clear()
         for duty in self.fleet.duties.values():
             for line in duty.changes:
                 logger.info("fleet duty {}: {}", duty.name, line)
             duty.changes.clear()
-        for line in self.fleet.changed:
+        for line in self.fleet.log_lines:
             logger.info("fleet register: {}", line)
-        self.fleet.changed.clear()
+        self.fleet.log_lines.clear()
         self._look_at_register()
 
     def _look_at_register(self) -> None:
         """Told once it has been away for a lease, by when an owner that cannot renew has stopped."""
-        reached, now = self.fleet.reached, mono_ms()
+        reached, now = self.fleet.register_reached, mono_ms()
         if reached is not False:
             if self.away_told:
                 logger.info("the fleet's register answers again")
@@ -276,7 +278,7 @@
     def _effect(self, effect: Effect) -> None:
         duty = self.fleet.duties[effect.duty]
         taken = self.receivers[effect.duty].offer(
-            effect, lambda: duty.owns(mono_ms()) == effect.epoch, lambda: effect.until - mono_ms()
+            effect, lambda: duty.owns(mono_ms()) == effect.epoch, lambda: effect.expires_at - mono_ms()
         )
         self.mailbox.post(Did(effect, taken))
 
@@ -295,25 +297,25 @@
                 return Report([], "no other member is fit to take it")
             self.mailbox.wake()
             return Report([{"duty": message.duty, "given_up_by": self.name}])
-        if isinstance(message, Reseat):
+        if isinstance(message, ReplaceVoters):
             return self._reseat(message)
-        if not isinstance(message, Tell):
+        if not isinstance(message, Query):
             return Report([], "not understood")
-        if message.what == "members":
-            return Report(list(fleet.rows_of_members(now)))
-        if message.what == "owners":
-            return Report(list(fleet.rows_of_owners(now)))
-        if message.what == "view":
-            rows = list(fleet.rows_of_view(now))
+        if message.subject == "members":
+            return Report(list(fleet.member_rows(now)))
+        if message.subject == "owners":
+            return Report(list(fleet.owner_rows(now)))
+        if message.subject == "view":
+            rows = list(fleet.view_rows(now))
             return Report(rows, "" if rows else "the fleet's view is unknown here: none has come of late")
-        if message.what == "register":
+        if message.subject == "register":
             return Report(self._register())
-        if message.what == "voters":
-            return Report(list(fleet.rows_of_voters()))
+        if message.subject == "voters":
+            return Report(list(fleet.voter_rows()))
         known = "members, owners, view, voters and register"
-        return Report([], f"{message.what[:60]!r} is not known; there are {known}")
+        return Report([], f"{message.subject[:60]!r} is not known; there are {known}")
 
-    def _reseat(self, message: Reseat) -> Report:
+    def _reseat(self, message: ReplaceVoters) -> Report:
         """Waits for its end, which holds this one operator's connection; it goes on where the operator
         hangs up."""
         ended: AsyncResult[Reseated] = AsyncResult()
@@ -321,7 +323,7 @@
         if strange:
             names = ", ".join(sorted(self.bounds.members))
             return Report([], f"{strange[0][:60]!r} is no member; there are {names}")
-        if not self.fleet.reseat(message.drop, message.add, ended.set, mono_ms()):
+        if not self.fleet.replace_voters(message.drop, message.add, ended.set, mono_ms()):
             return Report([], "a change of voters is under way from this member already")
         self.mailbox.wake()
         how = None
@@ -329,13 +331,13 @@
             how = ended.get(timeout=RESEAT_S)
         if how is None:
             return Report([], "it takes long and goes on; `fleet voters` shows how far it is")
-        return Report(list(self.fleet.rows_of_voters()), how.wrong)
+        return Report(list(self.fleet.voter_rows()), how.wrong)
 
     def _register(self) -> list[Row]:
         voter = self.voter.voter if self.voter is not None else None
         if voter is None or not voter.seated:
             names = ", ".join(self.fleet.proposer.roster.names)
-            return [{"voter": None, "voters": names, "answers": self.fleet.reached}]
+            return [{"voter": None, "voters": names, "answers": self.fleet.register_reached}]
         state = "votes" if voter.voting else f"abstains, heard {len(voter.heard)} of {len(voter.others)}"
         memory = voter.memory
         return [
@@ -345,6 +347,6 @@
                 "boot": memory.boot,
                 "keys": len(memory.slots),
                 "disk": not voter.failed,
-                "answers": self.fleet.reached,
+                "answers": self.fleet.register_reached,
             }
         ]
--- a/myrtlecrank/fleet/command.py
+++ b/myrtlecrank/fleet/command.py
@@ -12,7 +12,7 @@
 import msgspec
 from gevent import socket
 
-from myrtlecrank.fleet.messages import VERSION, Hello, Message, Report, Reseat, Row, StepDown, Tell
+from myrtlecrank.fleet.messages import VERSION, Hello, Message, Query, ReplaceVoters, Report, Row, StepDown
 from myrtlecrank.fleet.options import Bounds, address
 from myrtlecrank.fleet.ownership.lease import opened
 from myrtlecrank.fleet.peer_links import OPERATOR, Reader, RefusedError, packed
@@ -45,7 +45,7 @@
 def ask(bounds: Bounds, at: str, question: Message) -> Report:
     """Raises OSError or RefusedError where the member does not answer."""
     sock = socket.create_connection(address(bounds.members[at].at) or ("", 0), timeout=WAIT_S)
-    if isinstance(question, Reseat):
+    if isinstance(question, ReplaceVoters):
         sock.settimeout(RESEAT_S)
     try:
         sock.sendall(packed(Hello(VERSION, bounds.name, OPERATOR)) + packed(question))
@@ -69,8 +69,8 @@
         except (OSError, RefusedError) as error:
             why = f"{name}: {error}"
             continue
-        if report.wrong:
-            _fail(report.wrong)
+        if report.error:
+            _fail(report.error)
         click.echo(json.dumps(report.rows) if as_json else table(report.rows))
         return
     _fail(why)
@@ -121,7 +121,7 @@
         @as_json
         @operators
         def told(at: str | None, as_json: bool, operators_file: str | None) -> None:
-            shown(bounds_of(operators_file), at, Tell(what), as_json)
+            shown(bounds_of(operators_file), at, Query(what), as_json)
 
     teller("members", "Who is there, as one member sees it.")
     teller("owners", "The duties: owner, epoch, last recorded step.")
@@ -167,7 +167,7 @@
 
         One that is dropped and added at once begins anew, for a voter whose memory is lost. With neither, a
         change that stands half-way is ended."""
-        shown(bounds_of(operators_file), at, Reseat(list(drop), list(add)), False)
+        shown(bounds_of(operators_file), at, ReplaceVoters(list(drop), list(add)), False)
 
     @fleet.command()
     @click.argument("name")
--- a/myrtlecrank/fleet/member.py
+++ b/myrtlecrank/fleet/member.py
@@ -1,6 +1,7 @@
-"""One member of the fleet as a whole: members, the calls to the register, duties and their steps. Free of I/O
-and clocks: whoever runs it hands in what came and the time, carries out what is in `out`, and calls tick()
-when due() says so."""
+"""One member of the fleet as a whole: membership, calls to the register, duties and their steps.
+
+The module does no I/O and reads no clock. Its caller passes in messages and the current time, sends what is
+in `outgoing`, carries out what is in `effects`, and calls tick() at the time that due() returns."""
 
 from __future__ import annotations
 
@@ -8,266 +9,313 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Rumour, Swap
-from myrtlecrank.fleet.membership.swim import Members, Pace
-from myrtlecrank.fleet.messages import Message, Offered, Row, Voted
-from myrtlecrank.fleet.monitor.messages import Gauges, Told, Watched
-from myrtlecrank.fleet.monitor.monitor import DUTY as WATCH
-from myrtlecrank.fleet.monitor.monitor import Watch
+from myrtlecrank.fleet.membership.messages import Ack, MemberUpdate, Ping, PingRequest, StateExchange
+from myrtlecrank.fleet.membership.swim import Membership, MembershipTiming
+from myrtlecrank.fleet.messages import DutyOffered, Message, Row, Voted
+from myrtlecrank.fleet.monitor.messages import FleetView, Gauges, GaugesReply
+from myrtlecrank.fleet.monitor.monitor import MONITOR_DUTY, Monitor
 from myrtlecrank.fleet.ownership.lease import Duty, Look, Put, Terms, member_of, rebalance
 from myrtlecrank.fleet.register.calls import Calls
 from myrtlecrank.fleet.register.caspaxos import Proposer
 from myrtlecrank.fleet.register.messages import Outcome, Result, Seated
 from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
 from myrtlecrank.fleet.register.voter_set import Roster, guessed
-from myrtlecrank.fleet.step_scheduler import Effect, Steps, Work
+from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
+
+VIEW_MAX_AGE_INTERVALS = 4.0  # a view or reading older than this many view intervals is unknown
+RECHECKS_PER_READ_INTERVAL = 4.0  # a duty with no call to make is checked this often
+# An incomplete change of voters is completed after 2 to 6 lease waits. The spread keeps members from
+# starting at the same moment.
+COMPLETE_CHANGE_MIN_WAITS = 2.0
+COMPLETE_CHANGE_WAIT_RANGE = 4.0
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What a member is told once."""
+class FleetConfig:
+    """What a member is configured with at its start."""
 
     voters: tuple[str, ...]
-    works: tuple[Work, ...]
-    terms: Terms
-    pace: Pace
-    reply: float  # ms that a round of the register waits
-    even: float  # ms between two moves to even the duties out
-    watch: float = 0.0  # ms between two views of the fleet; 0: there are none
-    together: int = 64  # steps that one member has under way at a time
+    schedules: tuple[DutySchedule, ...]
+    lease_terms: Terms
+    membership_timing: MembershipTiming
+    register_reply_ms: float  # how long a round of the register waits for votes
+    rebalance_ms: float  # between two moves that even out the duties
+    view_interval_ms: float = 0.0  # between two views of the fleet; 0: no monitor
+    max_concurrent_steps: int = 64
 
 
-def voters_line(roster: Roster) -> str:
+def describe_voters(roster: Roster) -> str:
+    """A log line on who votes under this roster."""
     if not roster.joint:
         return f"the voters are {', '.join(roster.names)} (roster {roster.number})"
-    old, new = (", ".join(sorted(one)) for one in roster.sets)
+    old, new = (", ".join(sorted(names)) for names in roster.sets)
     return f"the voters change from {old} to {new} (roster {roster.number})"
 
 
-class Fleet:
-    """`start` names this start of the process and no other one, ever: a ballot or a lease of an earlier start
-    must not look like ours. `chance` gives 0 to 1."""
+def voter_state(roster: Roster, name: str) -> str:
+    """Whether a voter stays, is being added or is being removed, in the words of `fleet voters`."""
+    if all(name in names for names in roster.sets):
+        return "votes"
+    return "comes" if name in roster.sets[-1] else "goes"
+
+
+class FleetMember:
+    """The decisions of this process as a member of the fleet.
+
+    `start_id` must be unique to this start of the process: a ballot or lease of an earlier start must never
+    pass for one of this start. `random` returns a number from 0 to 1."""
 
     def __init__(
         self,
-        me: Rumour,
-        start: str,
+        local: MemberUpdate,
+        start_id: str,
         seeds: dict[str, tuple[str, int]],
-        plan: Plan,
-        chance: Callable[[], float],
+        config: FleetConfig,
+        random: Callable[[], float],
         now: float,
     ) -> None:
-        self.name, self.plan = me.name, plan
-        self.ident = f"{me.name}/{start}"
-        self.out: list[tuple[str, Message]] = []
+        self.name = local.name
+        self.config = config
+        self.owner_id = f"{local.name}/{start_id}"
+        self.outgoing: list[tuple[str, Message]] = []
         self.effects: list[Effect] = []
-        self.members = Members(me, seeds, plan.pace, chance, now)
-        self.proposer = Proposer(self.ident, guessed(plan.voters), chance)
-        self.calls = Calls(plan.reply, lambda to, asked: self.out.append((to, asked)))
-        self.chance = chance
-        self.told = self.proposer.roster  # the newest that the others were told of
-        self.unlike = False  # told once that voters were founded with unlike lists
-        self.changing = False  # voters are being replaced from here
-        self.changes = 0
-        self.changed: list[str] = []  # for the log; whoever reads them empties it
-        self.settle_due = math.inf  # when a change that stands half-way is ended from here
-        self.duties = {work.name: Duty(work.name, self.ident, plan.terms) for work in plan.works}
-        self.steps = Steps(plan.works, self.duties, plan.together)
-        self.gauges = Gauges()  # this backend's own, as last told
-        self.watch = Watch(plan.watch, 4.0 * plan.watch)
-        if plan.watch:
-            self.duties[WATCH] = Duty(WATCH, self.ident, plan.terms)
-        self.leaving = False
-        self.reached: bool | None = None  # whether the last call to the register had a majority
-        self.even_due = now + plan.even
-        # Not all members at one instant: the first look of each is spread over one interval.
+        self.membership = Membership(local, seeds, config.membership_timing, random, now)
+        self.proposer = Proposer(self.owner_id, guessed(config.voters), random)
+        self.register_calls = Calls(
+            config.register_reply_ms, lambda to, request: self.outgoing.append((to, request))
+        )
+        self.random = random
+        self.announced_roster = self.proposer.roster  # the newest that the other members were sent
+        self.has_reported_founding_conflict = False
+        self.is_replacing_voters = False  # a change of voters is driven from this member
+        self.voter_change_count = 0
+        self.log_lines: list[str] = []  # for the log; the reader clears it
+        self.complete_change_due = math.inf  # when this member completes an incomplete change of voters
+        self.duties = {
+            schedule.name: Duty(schedule.name, self.owner_id, config.lease_terms)
+            for schedule in config.schedules
+        }
+        self.scheduler = StepScheduler(config.schedules, self.duties, config.max_concurrent_steps)
+        self.gauges = Gauges()  # this backend's own, as last reported
+        self.monitor = Monitor(config.view_interval_ms, VIEW_MAX_AGE_INTERVALS * config.view_interval_ms)
+        if config.view_interval_ms:
+            self.duties[MONITOR_DUTY] = Duty(MONITOR_DUTY, self.owner_id, config.lease_terms)
+        self.is_leaving = False
+        self.register_reached: bool | None = None  # whether the last call to the register had a majority
+        self.rebalance_due = now + config.rebalance_ms
+        # The first read of each duty is spread over one interval, so that members do not all read at once.
         for duty in self.duties.values():
-            duty.due = now + plan.terms.look * chance()
+            duty.due = now + config.lease_terms.look * random()
 
-    # -- what comes in
+    # -- incoming messages
 
-    def heard(self, sender: str, message: Message, now: float) -> None:
-        """What a voter is asked goes to the voter, not here."""
+    def handle(self, sender: str, message: Message, now: float) -> None:
+        """Handles a message of another member. Messages to the voter are not passed here."""
         if isinstance(message, Voted):
-            self.calls.heard(sender, message, now)
-        elif isinstance(message, Ping | PingFor | Ack | Swap):
-            self.out += self.members.heard(sender, message, now)
-        elif isinstance(message, Watched):
-            answer = self.watch.hear(message, self.gauges, now) if self.plan.watch else None
-            if answer is not None:
-                self.out.append((sender, answer))
-        elif isinstance(message, Told):
-            self.watch.told(sender, message, now)
+            self.register_calls.heard(sender, message, now)
+        elif isinstance(message, Ping | PingRequest | Ack | StateExchange):
+            self.outgoing += self.membership.handle(sender, message, now)
+        elif isinstance(message, FleetView):
+            reply = (
+                self.monitor.handle_view(message, self.gauges, now) if self.config.view_interval_ms else None
+            )
+            if reply is not None:
+                self.outgoing.append((sender, reply))
+        elif isinstance(message, GaugesReply):
+            self.monitor.handle_reply(sender, message, now)
         elif isinstance(message, Seated):
             self.proposer.seated(message.roster)
-        elif isinstance(message, Offered) and message.duty in self.duties:
+        elif isinstance(message, DutyOffered) and message.duty in self.duties:
             self.duties[message.duty].due = now
 
-    def feel(self, fit: bool) -> None:
-        """By the module's own gauges: neither cold nor under duress."""
-        self.members.feel(fit and not self.leaving)
+    def set_eligible(self, eligible: bool) -> None:
+        """Sets whether this process may own duties by its own gauges: neither cold nor under duress."""
+        self.membership.set_eligible(eligible and not self.is_leaving)
 
     def leave(self, now: float) -> None:
-        """The notice to leave: duties are handed over, then members hear of it."""
-        if self.leaving:
+        """Starts the drain: hands over all duties and tells the members that this one leaves."""
+        if self.is_leaving:
             return
-        self.leaving = True
-        self.out += self.members.leave()
-        self._spread_all()
+        self.is_leaving = True
+        self.outgoing += self.membership.leave()
+        self._hand_over_all()
         self.tick(now)
 
-    def retune(self, plan: Plan) -> None:
-        """Takes over how the duties are worked on; the duties themselves, the voters and all terms stay."""
-        self.plan = replace(self.plan, works=plan.works, together=plan.together, even=plan.even)
-        self.steps.works = {work.name: work for work in plan.works}
-        self.steps.together = plan.together
+    def apply_config(self, config: FleetConfig) -> None:
+        """Takes over the schedules of the duties, the limit on concurrent steps and the rebalancing
+        interval; the set of duties, the voters and the lease terms stay."""
+        self.config = replace(
+            self.config,
+            schedules=config.schedules,
+            max_concurrent_steps=config.max_concurrent_steps,
+            rebalance_ms=config.rebalance_ms,
+        )
+        self.scheduler.schedules = {schedule.name: schedule for schedule in config.schedules}
+        self.scheduler.max_concurrent = config.max_concurrent_steps
 
     def owned(self, now: float) -> list[str]:
+        """The names of the duties that this process owns now."""
         return [name for name, duty in self.duties.items() if duty.owns(now) is not None]
 
     # -- time
 
     def due(self) -> float:
-        duties = [max(one.due, 0.0) for one in self.duties.values() if one.asked is None]
-        ends = [one.until for one in self.duties.values() if one.epoch is not None]
-        views = [self.watch.due] if self.watch.epoch is not None else []
-        own = [self.members.due(), self.calls.due(), self.even_due, self.settle_due]
-        return min([self.steps.due(), *own, *duties, *ends, *views])
+        """The time at which tick() has something to do again."""
+        calls = [max(duty.due, 0.0) for duty in self.duties.values() if duty.asked is None]
+        lease_ends = [duty.until for duty in self.duties.values() if duty.epoch is not None]
+        views = [self.monitor.due] if self.monitor.epoch is not None else []
+        timers = [
+            self.membership.due(),
+            self.register_calls.due(),
+            self.rebalance_due,
+            self.complete_change_due,
+        ]
+        return min([self.scheduler.due(), *timers, *calls, *lease_ends, *views])
 
     def tick(self, now: float) -> None:
-        # First what has run out: a process that wakes after a pause must do nothing before it has looked.
-        owned = len(self.owned(now))
-        self.calls.tick(now)
-        self.out += self.members.tick(now)
-        self._look_at_roster(now)
-        fit = self.members.me.fit and not self.leaving
+        """Handles all timeouts up to `now`."""
+        # Expired leases come first: a process that wakes from a pause must do nothing before this check.
+        owned_count = len(self.owned(now))
+        self.register_calls.tick(now)
+        self.outgoing += self.membership.tick(now)
+        self._check_roster(now)
+        is_eligible = self.membership.local.eligible and not self.is_leaving
         for duty in self.duties.values():
-            asked = duty.want(now, fit, owned)
-            if asked is not None:
-                self._ask(duty, asked, now)
+            call = duty.want(now, is_eligible, owned_count)
+            if call is not None:
+                self._call_register(duty, call, now)
             elif duty.asked is None and duty.due <= now:
-                duty.due = now + self.plan.terms.look / 4.0
-        self.effects += self.steps.tick(now)
-        if self.plan.watch:
-            epoch = self.duties[WATCH].owns(now)
-            self.out += self.watch.tick(now, epoch, self.members.there(), self.name, self.gauges)
-        if now >= self.even_due:
-            self.even_due = now + self.plan.even
-            self._even()
-
-    def _ask(self, duty: Duty, asked: Look | Put, now: float) -> None:
-        duty.sending(asked, now)
-
-        def done(outcome: Outcome, then: float) -> None:
-            was = duty.epoch
+                duty.due = now + self.config.lease_terms.look / RECHECKS_PER_READ_INTERVAL
+        self.effects += self.scheduler.tick(now)
+        if self.config.view_interval_ms:
+            epoch = self.duties[MONITOR_DUTY].owns(now)
+            self.outgoing += self.monitor.tick(now, epoch, self.membership.active(), self.name, self.gauges)
+        if now >= self.rebalance_due:
+            self.rebalance_due = now + self.config.rebalance_ms
+            self._rebalance()
+
+    def _call_register(self, duty: Duty, request: Look | Put, now: float) -> None:
+        duty.sending(request, now)
+
+        def done(outcome: Outcome, ended_at: float) -> None:
+            epoch_before = duty.epoch
             heir = duty.heir
-            self.reached = outcome.result is not Result.AWAY
-            duty.heard(outcome, then)
-            if was is not None and duty.epoch is None and heir:
-                self.out.append((heir, Offered(duty.name)))
-
-        if isinstance(asked, Put):
-            call = self.proposer.change(duty.name, asked.over, asked.value())
-        elif not asked.sure:
+            self.register_reached = outcome.result is not Result.AWAY
+            duty.heard(outcome, ended_at)
+            if epoch_before is not None and duty.epoch is None and heir:
+                self.outgoing.append((heir, DutyOffered(duty.name)))
+
+        if isinstance(request, Put):
+            call = self.proposer.change(duty.name, request.over, request.value())
+        elif not request.sure:
             call = self.proposer.glance(duty.name)
         else:
             call = self.proposer.read(duty.name)
-        self.calls.start(call, done, now)
+        self.register_calls.start(call, done, now)
 
     def step_down(self, name: str) -> bool:
-        """By an operator: the duty goes to the fittest other; False where there is none, and it stays."""
-        heir = self._heir()
+        """On an operator's request, gives a duty to the best other member. False if no other member is
+        eligible; the duty then stays here."""
+        heir = self._choose_heir()
         if heir:
             self.duties[name].give_up(heir)
         return bool(heir)
 
     # -- the voters
 
-    def _look_at_roster(self, now: float) -> None:
-        """Whoever learns of a newer roster tells the others, once: a hint, as the voters tell whoever
-        asks. One that stands half-way is ended by any that knows of it, not all in one instant."""
+    def _check_roster(self, now: float) -> None:
+        """Announces a newer roster to the other members, once. That is only a hint, as the voters tell it to
+        whoever asks them. Any member that knows of an incomplete change completes it, at a random delay."""
         roster = self.proposer.roster
-        if roster.number > self.told.number:
-            known, self.told = self.told.number >= 0, roster
-            if known or roster.joint:
-                names = sorted({*self.members.there(), *roster.names})
-                self.out += [(name, Seated(roster)) for name in names]
-            self.changed.append(voters_line(roster))
-            self.settle_due = self._settle_at(now) if roster.joint else math.inf
-        if self.proposer.unlike is not None and not self.unlike:
-            self.unlike = True
+        if roster.number > self.announced_roster.number:
+            was_known = self.announced_roster.number >= 0
+            self.announced_roster = roster
+            if was_known or roster.joint:
+                names = sorted({*self.membership.active(), *roster.names})
+                self.outgoing += [(name, Seated(roster)) for name in names]
+            self.log_lines.append(describe_voters(roster))
+            self.complete_change_due = self._next_complete_change(now) if roster.joint else math.inf
+        if self.proposer.unlike is not None and not self.has_reported_founding_conflict:
+            self.has_reported_founding_conflict = True
             others = ", ".join(self.proposer.unlike.names)
-            self.changed.append(
+            self.log_lines.append(
                 f"some voters were founded as {others}, others as {', '.join(roster.names)}: "
                 "they never vote together; begin the fleet anew from one file"
             )
-        if now >= self.settle_due:
-            self.settle_due = self._settle_at(now)
-            self.reseat((), (), lambda _: None, now)
+        if now >= self.complete_change_due:
+            self.complete_change_due = self._next_complete_change(now)
+            self.replace_voters((), (), lambda _: None, now)
 
-    def _settle_at(self, now: float) -> float:
-        return now + self.plan.terms.wait * (2.0 + 4.0 * self.chance())
+    def _next_complete_change(self, now: float) -> float:
+        waits = COMPLETE_CHANGE_MIN_WAITS + COMPLETE_CHANGE_WAIT_RANGE * self.random()
+        return now + self.config.lease_terms.wait * waits
 
-    def reseat(
+    def replace_voters(
         self, drop: Iterable[str], add: Iterable[str], done: Callable[[Reseated], None], now: float
     ) -> bool:
-        """Replaces voters; False where a change is under way from here already. `done` hears how it ended."""
-        if self.changing:
+        """Starts a change of voters; `done` is called with its result. False if this member is already
+        driving one."""
+        if self.is_replacing_voters:
             return False
-        self.changing, self.changes = True, self.changes + 1
+        self.is_replacing_voters = True
+        self.voter_change_count += 1
 
-        def ended(how: Reseated, _: float) -> None:
-            self.changing = False
-            done(how)
+        def ended(result: Reseated, _: float) -> None:
+            self.is_replacing_voters = False
+            done(result)
 
-        token = f"{self.ident}:{self.changes}"
-        self.calls.start(reseat(self.proposer, drop, add, token), ended, now)
+        token = f"{self.owner_id}:{self.voter_change_count}"
+        self.register_calls.start(reseat(self.proposer, drop, add, token), ended, now)
         return True
 
-    def rows_of_voters(self) -> Iterator[Row]:
+    # -- rows for operators
+
+    def voter_rows(self) -> Iterator[Row]:
+        """The voters as this member knows them."""
         roster = self.proposer.roster
         for name in roster.names:
             yield {
                 "voter": name,
                 "roster": roster.number,
                 "seat": roster.seat(name) or "founder",
-                "state": "votes"
-                if all(name in one for one in roster.sets)
-                else "comes"
-                if name in roster.sets[-1]
-                else "goes",
+                "state": voter_state(roster, name),
             }
 
-    # -- what operators see
-
-    def rows_of_members(self, now: float) -> Iterator[Row]:
-        members = self.members
-        for name in sorted([self.name, *members.members]):
-            told = members.me if name == self.name else members.members[name].told
-            since = 0.0 if name == self.name else (now - members.members[name].since) / 1000.0
+    def member_rows(self, now: float) -> Iterator[Row]:
+        """All members as this member knows them."""
+        membership = self.membership
+        for name in sorted([self.name, *membership.peers]):
+            if name == self.name:
+                update = membership.local
+                state_age_s = 0.0
+            else:
+                update = membership.peers[name].update
+                state_age_s = (now - membership.peers[name].state_since) / 1000.0
             yield {
                 "member": name,
-                "state": told.state.name.lower(),
-                "fit": told.fit,
-                "zone": told.zone,
-                "incarnation": told.incarnation,
-                "for_s": round(since, 1),
+                "state": update.state.name.lower(),
+                "fit": update.eligible,
+                "zone": update.zone,
+                "incarnation": update.incarnation,
+                "for_s": round(state_age_s, 1),
             }
 
-    def rows_of_view(self, now: float) -> Iterator[Row]:
-        for known in self.watch.now_known(now) or []:
+    def view_rows(self, now: float) -> Iterator[Row]:
+        """The monitor's view of all members; no rows if it is unknown."""
+        for known in self.monitor.current_view(now) or []:
             gauges = known.gauges
             yield {
                 "member": known.member,
-                "age_ms": round(known.age),
-                "well": gauges.well,
+                "age_ms": round(known.age_ms),
+                "well": gauges.is_healthy,
                 "warmth": round(gauges.warmth, 2),
-                "late_ms": round(gauges.late, 1),
-                "value": gauges.value,
-                "storm": gauges.storm,
+                "late_ms": round(gauges.sampling_delay_ms, 1),
+                "value": gauges.published_value,
+                "storm": gauges.has_retry_storm,
             }
 
-    def rows_of_owners(self, now: float) -> Iterator[Row]:
+    def owner_rows(self, now: float) -> Iterator[Row]:
+        """All duties and their leases as this member last read them."""
         for name, duty in self.duties.items():
             lease = duty.lease
             yield {
@@ -282,40 +330,48 @@
 
     # -- the steps of a duty
 
-    def did(self, effect: Effect, taken: bool, now: float) -> None:
-        self.steps.did(effect, taken, now)
-
-    # -- spreading the duties
-
-    def _heir(self) -> str:
-        """The fit member with the fewest duties, as far as the last looks say; empty for anybody."""
-        found = rebalance(self._owners(), self.name, self.members.fit(), self.members.zones())
-        others = [name for name in self.members.fit() if name != self.name]
-        return found[1] if found else (others[0] if others else "")
-
-    def _spread_all(self) -> None:
-        """Each of ours to another, those with the fewest first; for anybody where no other is fit."""
+    def finish_effect(self, effect: Effect, taken: bool, now: float) -> None:
+        """Handles the receiver's answer to an effect; `taken` is False where there was none."""
+        self.scheduler.finish(effect, taken, now)
+
+    # -- distribution of the duties
+
+    def _choose_heir(self) -> str:
+        """An eligible other member, the one with the fewest duties if that evens them out; empty if there is
+        none."""
+        eligible = self.membership.eligible()
+        move = rebalance(self._owners(), self.name, eligible, self.membership.zones())
+        if move:
+            return move[1]
+        others = [name for name in eligible if name != self.name]
+        return others[0] if others else ""
+
+    def _hand_over_all(self) -> None:
+        """Gives each owned duty to the eligible member with the fewest, or to any member if none is
+        eligible."""
         owners = self._owners()
         for name, duty in self.duties.items():
             if duty.epoch is not None and duty.heir is None:
-                count = {one: 0 for one in self.members.fit() if one != self.name}
+                counts = {one: 0 for one in self.membership.eligible() if one != self.name}
                 for owner in owners.values():
-                    if owner in count:
-                        count[owner] += 1
-                owners[name] = min(count, key=lambda one: (count[one], one), default="")
+                    if owner in counts:
+                        counts[owner] += 1
+                owners[name] = min(counts, key=lambda one: (counts[one], one), default="")
                 duty.give_up(owners[name])
 
-    def _even(self) -> None:
-        if self.leaving:
-            self._spread_all()
-        elif not self.members.me.fit:
-            mine = [one for one in self.duties.values() if one.epoch is not None]
-            if mine and (heir := self._heir()):
-                mine[0].give_up(heir)  # under duress, one at a time
+    def _rebalance(self) -> None:
+        if self.is_leaving:
+            self._hand_over_all()
+        elif not self.membership.local.eligible:
+            owned = [duty for duty in self.duties.values() if duty.epoch is not None]
+            if owned and (heir := self._choose_heir()):
+                owned[0].give_up(heir)  # one at a time
         else:
-            found = rebalance(self._owners(), self.name, self.members.fit(), self.members.zones())
-            if found is not None:
-                self.duties[found[0]].give_up(found[1])
+            eligible = self.membership.eligible()
+            move = rebalance(self._owners(), self.name, eligible, self.membership.zones())
+            if move is not None:
+                duty_name, heir = move
+                self.duties[duty_name].give_up(heir)
 
     def _owners(self) -> dict[str, str]:
-        return {name: member_of(one.lease.owner) for name, one in self.duties.items()}
+        return {name: member_of(duty.lease.owner) for name, duty in self.duties.items()}
--- a/myrtlecrank/fleet/membership/__init__.py
+++ b/myrtlecrank/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there and how sure we are. Never a ground for safety, only for speed."""
+"""Which members are alive. Used to react quickly only: no safety property depends on it."""
--- a/myrtlecrank/fleet/membership/messages.py
+++ b/myrtlecrank/fleet/membership/messages.py
@@ -1,14 +1,15 @@
-"""What members tell each other of members."""
+"""The messages of the membership protocol. Class tags and field names given as strings are those on the
+wire."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 
 class State(IntEnum):
-    """Ordered: of two rumours on one incarnation the higher one stands."""
+    """State of a member. Of two updates with the same incarnation, the one with the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -16,41 +17,49 @@
     LEFT = 3
 
 
-class Rumour(Struct, frozen=True):
-    """One member as somebody saw it. `by` is who suspects it, which counts how many do."""
+class MemberUpdate(Struct, frozen=True):
+    """The state of one member as some member reported it.
+
+    `suspected_by` names the member that raised the suspicion, so that independent suspicions can be
+    counted."""
 
     name: str
     address: tuple[str, int]
     zone: str
     incarnation: int
     state: State
-    fit: bool = True  # may take duties: not leaving, cold or under duress
-    by: str = ""
+    eligible: bool = field(default=True, name="fit")  # may own duties: not leaving, cold or under duress
+    suspected_by: str = field(default="", name="by")
 
 
 class Ping(Struct, frozen=True, tag=True):
+    """A direct probe; answered by an Ack with the same `seq`."""
+
     seq: int
-    rumours: list[Rumour]
+    updates: list[MemberUpdate] = field(name="rumours")
 
 
-class PingFor(Struct, frozen=True, tag=True):
-    """Asks a third to ping `target`, whose own answer did not come."""
+class PingRequest(Struct, frozen=True, tag="PingFor"):
+    """Asks a third member to probe `target`, which has not answered the sender's own ping."""
 
     seq: int
     target: str
-    rumours: list[Rumour]
+    updates: list[MemberUpdate] = field(name="rumours")
 
 
 class Ack(Struct, frozen=True, tag=True):
+    """The answer to a Ping or, from the helper that was asked, to a PingRequest."""
+
     seq: int
-    rumours: list[Rumour]
+    updates: list[MemberUpdate] = field(name="rumours")
 
 
-class Swap(Struct, frozen=True, tag=True):
-    """All that the sender knows; answered in kind where `back` is asked for."""
+class StateExchange(Struct, frozen=True, tag="Swap"):
+    """The sender's full membership state (anti-entropy); the receiver returns its own if `wants_reply` is
+    set."""
 
-    back: bool
-    rumours: list[Rumour]
+    wants_reply: bool = field(name="back")
+    updates: list[MemberUpdate] = field(name="rumours")
 
 
-Word = Ping | PingFor | Ack | Swap
+MembershipMessage = Ping | PingRequest | Ack | StateExchange
--- a/myrtlecrank/fleet/messages.py
+++ b/myrtlecrank/fleet/messages.py
@@ -1,18 +1,19 @@
-"""All that members of a fleet say to each other, as one tagged union."""
+"""All messages on the peer links of a fleet, as one tagged union. Class tags and field names given as
+strings are those on the wire."""
 
 from __future__ import annotations
 
-from msgspec import Struct
+from msgspec import Struct, field
 
-from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Swap
-from myrtlecrank.fleet.monitor.messages import Told, Watched
+from myrtlecrank.fleet.membership.messages import Ack, Ping, PingRequest, StateExchange
+from myrtlecrank.fleet.monitor.messages import FleetView, GaugesReply
 from myrtlecrank.fleet.register.messages import Ask, Known, Rejoin, Seated, Vote
 
-VERSION = 2  # of all of this; a peer of another one is refused
+VERSION = 2  # of the protocol as a whole; a peer with another version is refused
 
 
 class Hello(Struct, frozen=True, tag=True):
-    """First on each link, both ways."""
+    """The first message on each link, in both directions."""
 
     version: int
     fleet: str
@@ -20,8 +21,10 @@
 
 
 class Asked(Struct, frozen=True, tag=True):
-    """A question to a voter. `call` and `round` come back with the vote, by which late ones are known;
-    `mark` is that of the roster that it is asked under."""
+    """A request to a voter.
+
+    The vote carries `call` and `round` back, which identifies late votes. `mark` identifies the voter set
+    under which the request is made."""
 
     call: int
     round: int
@@ -30,25 +33,27 @@
 
 
 class Voted(Struct, frozen=True, tag=True):
+    """A voter's answer to an Asked with the same `call` and `round`."""
+
     call: int
     round: int
     vote: Vote
 
 
-class Offered(Struct, frozen=True, tag=True):
-    """A duty was given up for the one that hears this; only a hint to look at the record now."""
+class DutyOffered(Struct, frozen=True, tag="Offered"):
+    """The owner gave a duty up in favour of the receiver. Only a hint to read the duty's record now."""
 
     duty: str
 
 
-class Tell(Struct, frozen=True, tag=True):
-    """An operator asks: members, owners or register."""
+class Query(Struct, frozen=True, tag="Tell"):
+    """An operator asks for the rows of one subject: members, owners, view, voters or register."""
 
-    what: str
+    subject: str = field(name="what")
 
 
 class StepDown(Struct, frozen=True, tag=True):
-    """An operator has the owner that hears this give a duty up."""
+    """An operator makes the receiver, which owns the duty, give it up."""
 
     duty: str
 
@@ -56,36 +61,36 @@
 Row = dict[str, str | int | float | bool | None]
 
 
-class Reseat(Struct, frozen=True, tag=True):
-    """An operator has voters replaced; both lists empty: has a change that stands half-way ended."""
+class ReplaceVoters(Struct, frozen=True, tag="Reseat"):
+    """An operator replaces voters. With both lists empty, a change that is incomplete is completed."""
 
     drop: list[str]
     add: list[str]
 
 
 class Report(Struct, frozen=True, tag=True):
-    """The answer to an operator: rows for a table, or one line on what is wrong."""
+    """The answer to an operator: the rows of a table, or one line that says what is wrong."""
 
     rows: list[Row]
-    wrong: str = ""
+    error: str = field(default="", name="wrong")
 
 
 Message = (
-    Watched
-    | Told
+    FleetView
+    | GaugesReply
     | Hello
     | Asked
     | Voted
     | Rejoin
     | Known
     | Seated
-    | Offered
+    | DutyOffered
     | Ping
-    | PingFor
+    | PingRequest
     | Ack
-    | Swap
-    | Tell
+    | StateExchange
+    | Query
     | StepDown
-    | Reseat
+    | ReplaceVoters
     | Report
 )
--- a/myrtlecrank/fleet/monitor/__init__.py
+++ b/myrtlecrank/fleet/monitor/__init__.py
@@ -1,2 +1,2 @@
-"""The fleet's watcher: one owner gathers the members' gauges and publishes one view with its epoch and
-age."""
+"""The fleet's monitor: the owner of one duty gathers the gauges of all members and publishes them as a view,
+with its epoch and the age of each reading."""
--- a/myrtlecrank/fleet/monitor/messages.py
+++ b/myrtlecrank/fleet/monitor/messages.py
@@ -1,40 +1,42 @@
-"""What the watcher and those that it watches say to each other."""
+"""The messages between the monitor and the members that it polls. Class tags and field names given as
+strings are those on the wire."""
 
 from __future__ import annotations
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 
 class Gauges(Struct, frozen=True):
-    """What one backend says of itself. Shares from 0 to 1, times in ms; None where it is not known."""
+    """What one backend reports of itself. Shares are from 0 to 1; None is an unknown value."""
 
-    well: bool = True
-    warmth: float = 1.0
-    late: float = 0.0  # how far its last beat came after it was due
-    value: float | None = None  # what it publishes to callers
-    storm: bool = False  # of repeats, by its own estimate
+    is_healthy: bool = field(default=True, name="well")
+    warmth: float = 1.0  # 0: cold, 1: warm
+    sampling_delay_ms: float = field(default=0.0, name="late")  # of its last sampling tick
+    published_value: float | None = field(default=None, name="value")  # what it publishes to its callers
+    has_retry_storm: bool = field(default=False, name="storm")  # by its own estimate
 
 
-class Seen(Struct, frozen=True):
-    """One member's gauges, and how old they were when they were sent on."""
+class MemberGauges(Struct, frozen=True):
+    """The gauges of one member, and their age when they were sent on."""
 
     member: str
     gauges: Gauges
-    age: float
+    age_ms: float = field(name="age")
 
 
-class Watched(Struct, frozen=True, tag=True):
-    """From the watcher, who asks for the gauges of whoever hears it and tells all that it has gathered.
-    `view` counts the views under this epoch."""
+class FleetView(Struct, frozen=True, tag="Watched"):
+    """Sent by the monitor: all gauges that it has gathered, and a request for the receiver's own.
+
+    `number` counts the views of one epoch."""
 
     epoch: int
-    view: int
-    seen: list[Seen]
+    number: int = field(name="view")
+    members: list[MemberGauges] = field(name="seen")
 
 
-class Told(Struct, frozen=True, tag=True):
-    """The answer: one's own gauges now."""
+class GaugesReply(Struct, frozen=True, tag="Told"):
+    """The answer to a FleetView: the receiver's own gauges now."""
 
     epoch: int
-    view: int
+    view_number: int = field(name="view")
     gauges: Gauges
--- a/myrtlecrank/fleet/monitor/monitor.py
+++ b/myrtlecrank/fleet/monitor/monitor.py
@@ -1,9 +1,9 @@
-"""Decisions of the watcher and of those that hear it. Free of I/O and clocks; times are ms of the own
-monotonic clock.
+"""The decisions of the monitor and of the members that receive its views. The module does no I/O and reads no
+clock; times are ms of the local monotonic clock.
 
-No time of another's clock is used: a figure's age at its receiver is the age that it was sent with, as
-counted by the watcher from when it asked, and the time since it was received here. The way of the message is
-not in it; it is bounded by the receiver's refusal of what is older than the last view."""
+No time of another process's clock is used. The age of a reading at its receiver is the age that it was sent
+with, which the monitor counts from when it asked, plus the time since it was received. The network delay of
+the view is not included; it is bounded, as a receiver discards any view that is older than the last one."""
 
 from __future__ import annotations
 
@@ -11,102 +11,107 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from myrtlecrank.fleet.monitor.messages import Gauges, Seen, Told, Watched
+from myrtlecrank.fleet.monitor.messages import FleetView, Gauges, GaugesReply, MemberGauges
 from myrtlecrank.fleet.ownership.lease import Fence
 
-DUTY = "fleet/watch"  # no duty of the operators has a slash in its name
-MOST = 1000  # members in one view
+MONITOR_DUTY = "fleet/watch"  # the name of an operators' duty contains no slash
+MAX_MEMBERS_IN_VIEW = 1000
+MAX_OPEN_VIEWS = 8  # views whose replies are still accepted
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """One member's gauges as they stand here, with their age now."""
+class AgedGauges:
+    """The gauges of one member as known here, and their age now."""
 
     member: str
     gauges: Gauges
-    age: float
+    age_ms: float
 
 
 @dataclass(slots=True)
-class _Got:
+class _Reading:
     gauges: Gauges
-    since: float  # own clock: what this was as old as 0
+    taken_at: float  # on the local clock: when the age of this reading was 0
 
 
 @dataclass(slots=True)
-class Watch:
-    """One process's part, as the watcher while it owns the duty, and as one that hears views always. `every`:
-    between two views; `old`: age from which a view is no longer one."""
+class Monitor:
+    """One process's part in the monitoring: as the monitor while it owns the duty, and always as a receiver
+    of views. From an age of `max_age_ms` a reading or a view is no longer used."""
 
-    every: float
-    old: float
+    interval_ms: float  # between two views
+    max_age_ms: float
     due: float = 0.0
-    epoch: int | None = None  # while it is the watcher
-    number: int = 0
-    asked: dict[int, float] = field(default_factory=dict)  # when each of the last views was sent
-    gathered: dict[str, _Got] = field(default_factory=dict)
+    epoch: int | None = None  # None while this process is not the monitor
+    number: int = 0  # of the last view that was sent in this epoch
+    sent_at: dict[int, float] = field(default_factory=dict)  # of the last views, by their numbers
+    gathered: dict[str, _Reading] = field(default_factory=dict)
     fence: Fence = field(default_factory=Fence)
-    last: tuple[int, int] = (0, 0)  # epoch and number of the newest view that was heard
-    view: dict[str, _Got] = field(default_factory=dict)
-    heard_at: float | None = None
+    newest_view: tuple[int, int] = (0, 0)  # epoch and number of the newest view that was received
+    view: dict[str, _Reading] = field(default_factory=dict)
+    received_at: float | None = None
 
     def tick(
-        self, now: float, epoch: int | None, there: Iterable[str], me: str, mine: Gauges
-    ) -> list[tuple[str, Watched]]:
-        """What the watcher sends now: to each other member what it knows, which asks for theirs too."""
+        self, now: float, epoch: int | None, active: Iterable[str], local_name: str, local_gauges: Gauges
+    ) -> list[tuple[str, FleetView]]:
+        """The views that the monitor sends now, one to each other active member. `epoch` is None on a process
+        that does not own the monitor's duty."""
         if epoch != self.epoch:
-            # A new watcher begins with nothing: what an earlier one had gathered may be of any age.
-            self.epoch, self.number, self.due = epoch, 0, now
-            self.asked.clear()
+            # A new monitor starts empty: what it gathered in an earlier epoch may be of any age.
+            self.epoch = epoch
+            self.number = 0
+            self.due = now
+            self.sent_at.clear()
             self.gathered.clear()
         if epoch is None or now < self.due:
             return []
-        self.due = now + self.every
+        self.due = now + self.interval_ms
         self.number += 1
-        self.asked[self.number] = now
-        self.asked.pop(self.number - 8, None)
-        self.gathered[me] = _Got(mine, now)
-        members = sorted(there)[:MOST]
-        for gone in set(self.gathered) - set(members) - {me}:
-            del self.gathered[gone]
-        seen = [
-            Seen(name, got.gauges, now - got.since)
-            for name, got in sorted(self.gathered.items())
-            if now - got.since < self.old
+        self.sent_at[self.number] = now
+        self.sent_at.pop(self.number - MAX_OPEN_VIEWS, None)
+        self.gathered[local_name] = _Reading(local_gauges, now)
+        members = sorted(active)[:MAX_MEMBERS_IN_VIEW]
+        for departed in set(self.gathered) - set(members) - {local_name}:
+            del self.gathered[departed]
+        readings = [
+            MemberGauges(name, reading.gauges, now - reading.taken_at)
+            for name, reading in sorted(self.gathered.items())
+            if now - reading.taken_at < self.max_age_ms
         ]
-        message = Watched(epoch, self.number, seen)
-        self.hear(message, mine, now)
-        return [(name, message) for name in members if name != me]
-
-    def told(self, sender: str, told: Told, now: float) -> None:
-        """A member's answer. Its age counts from when it was asked for, which is before it was read."""
-        asked = self.asked.get(told.view)
-        if told.epoch != self.epoch or asked is None or asked > now:
+        view = FleetView(epoch, self.number, readings)
+        self.handle_view(view, local_gauges, now)
+        return [(name, view) for name in members if name != local_name]
+
+    def handle_reply(self, sender: str, reply: GaugesReply, now: float) -> None:
+        """Takes the gauges of a member. Their age counts from the request, which is before they were read."""
+        sent_at = self.sent_at.get(reply.view_number)
+        if reply.epoch != self.epoch or sent_at is None or sent_at > now:
             return
-        old = self.gathered.get(sender)
-        if old is None or old.since < asked:
-            self.gathered[sender] = _Got(told.gauges, asked)
-
-    def hear(self, watched: Watched, mine: Gauges, now: float) -> Told | None:
-        """Takes a view over; what to answer, None to a watcher whose time is over or to a view that came
-        late."""
-        if not self.fence.admits(DUTY, watched.epoch) or (watched.epoch, watched.view) <= self.last:
+        known = self.gathered.get(sender)
+        if known is None or known.taken_at < sent_at:
+            self.gathered[sender] = _Reading(reply.gauges, sent_at)
+
+    def handle_view(self, view: FleetView, local_gauges: Gauges, now: float) -> GaugesReply | None:
+        """Takes over a view; returns the answer to it. None for a view of a superseded monitor, or for one
+        that a newer view has overtaken."""
+        if not self.fence.admits(MONITOR_DUTY, view.epoch) or (view.epoch, view.number) <= self.newest_view:
             return None
-        self.last, self.heard_at = (watched.epoch, watched.view), now
+        self.newest_view = (view.epoch, view.number)
+        self.received_at = now
         self.view = {
-            one.member: _Got(one.gauges, now - max(0.0, one.age))
-            for one in watched.seen[:MOST]
-            if not math.isnan(one.age)
+            one.member: _Reading(one.gauges, now - max(0.0, one.age_ms))
+            for one in view.members[:MAX_MEMBERS_IN_VIEW]
+            if not math.isnan(one.age_ms)
         }
-        return Told(watched.epoch, watched.view, mine)
+        return GaugesReply(view.epoch, view.number, local_gauges)
 
-    def now_known(self, now: float) -> list[Known] | None:
-        """The fleet as it is known here; None, unknown, where the last view is too old. Of each member only
-        what is not."""
-        if self.heard_at is None or now - self.heard_at >= self.old:
+    def current_view(self, now: float) -> list[AgedGauges] | None:
+        """The gauges of all members as known here, without readings that are too old; None, which is
+        unknown, if the last view itself is too old."""
+        if self.received_at is None or now - self.received_at >= self.max_age_ms:
             return None
         return [
-            Known(name, got.gauges, now - got.since)
-            for name, got in sorted(self.view.items())
-            if now - got.since < self.old
+            AgedGauges(name, reading.gauges, now - reading.taken_at)
+            for name, reading in sorted(self.view.items())
+            if now - reading.taken_at < self.max_age_ms
         ]
--- a/myrtlecrank/fleet/step_scheduler.py
+++ b/myrtlecrank/fleet/step_scheduler.py
@@ -1,10 +1,11 @@
-"""The scheduler of fleet work: which step of which duty its owner begins now. Free of I/O and clocks;
-times are ms of the own monotonic clock.
+"""The scheduler of fleet work: which step of which duty its owner starts now. It does no I/O and reads no
+clock; times are ms of the local monotonic clock.
 
-A step is offered to its receiver under the duty's epoch, one at a time, and the next only after the
-register has the last one: a new owner goes on behind it. Two budgets bound the work: each duty's share
-of time in which its steps may be under way, and how many steps one member has under way together. Of
-those that wait for the second the one that has waited longest begins first, so no duty starves."""
+A step is offered to its receiver under the epoch of the duty's lease, one at a time, and the next one only
+after the register has recorded the last: a new owner continues behind it. Two limits bound the work: for
+each duty the share of time in which its steps may run, and for the member the number of steps that run
+concurrently. Of the duties that wait for the second limit the one that has waited longest starts first, so
+that none starves."""
 
 from __future__ import annotations
 
@@ -14,118 +15,133 @@
 
 from myrtlecrank.fleet.ownership.lease import Duty
 
+MAX_BACK_OFF_DOUBLINGS = 4
+
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """What is done under a duty: a step every so long, within `deadline`, later by `back_off` for each
-    failure in a row (doubled, at most 16 times). All in ms. `share`: the most of the time, from above 0
-    to 1, in which its steps may be under way; a long step is followed by a wait that brings it down to
-    that."""
+class DutySchedule:
+    """When the steps of a duty run.
+
+    A failed step is retried after `back_off_ms`, doubled for each further failure in a row up to 16 times.
+    `max_share`, above 0 and at most 1, is the share of time in which steps may run: a long step is followed
+    by a wait that keeps to it."""
 
     name: str
-    every: float
-    deadline: float
-    back_off: float
-    share: float = 1.0
+    interval_ms: float
+    deadline_ms: float
+    back_off_ms: float
+    max_share: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """One step to carry out now. Whoever takes it refuses an epoch older than the newest it met, and a step
-    that it has already. `until`: at this time on the own clock it is given up."""
+    """One step to carry out now. Its receiver rejects an epoch below the newest that it has met, and does not
+    repeat a step that it has already taken. At `expires_at`, on the local clock, the step is abandoned."""
 
     duty: str
     epoch: int
     step: int
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
-class Doing:
+class DutyProgress:
     """The state of a duty's work at its owner."""
 
     epoch: int = 0
     due: float = 0.0
-    step: int = 0  # under way, or done and not yet recorded
-    until: float | None = None  # while under way
-    failures: int = 0
-    begun: float = 0.0  # when the step under way was
+    step: int = 0  # running, or done and not recorded yet
+    expires_at: float | None = None  # None while no step runs
+    failures: int = 0  # in a row
+    started_at: float = 0.0
 
 
-class Steps:
-    def __init__(self, works: Iterable[Work], duties: Mapping[str, Duty], together: int) -> None:
-        self.works = {work.name: work for work in works}
-        self.duties, self.together = duties, together
-        self.doing = {name: Doing() for name in self.works}
+class StepScheduler:
+    """Starts the steps of all duties that this process owns."""
+
+    def __init__(
+        self, schedules: Iterable[DutySchedule], duties: Mapping[str, Duty], max_concurrent: int
+    ) -> None:
+        self.schedules = {schedule.name: schedule for schedule in schedules}
+        self.duties = duties
+        self.max_concurrent = max_concurrent
+        self.progress = {name: DutyProgress() for name in self.schedules}
 
     def due(self) -> float:
-        """When a step ends or may begin next, as far as time alone decides."""
-        full = self._under_way() >= self.together
+        """When a step expires or may start next, as far as time alone decides."""
+        is_full = self._running_steps() >= self.max_concurrent
         dues = [math.inf]
-        for name, one in self.doing.items():
+        for name, progress in self.progress.items():
             duty = self.duties[name]
             if duty.epoch is None:
                 continue
-            if one.until is not None:
-                dues.append(one.until)
-            elif duty.recorded() >= one.step and not full:
-                dues.append(one.due)
+            if progress.expires_at is not None:
+                dues.append(progress.expires_at)
+            elif duty.recorded() >= progress.step and not is_full:
+                dues.append(progress.due)
         return min(dues)
 
     def tick(self, now: float) -> list[Effect]:
-        """The steps that begin now."""
-        waiting: list[tuple[float, str]] = []
-        for name, work in self.works.items():
-            duty, doing = self.duties[name], self.doing[name]
+        """Expires overdue steps; returns the steps that start now."""
+        ready: list[tuple[float, str]] = []
+        for name, schedule in self.schedules.items():
+            duty = self.duties[name]
+            progress = self.progress[name]
             epoch = duty.owns(now)
             if epoch is None:
-                if doing.until is not None:
-                    # Not done, as far as is known: were it left as it is, a lease that is found to
-                    # stand after all would wait for ever for its record.
-                    doing.until, doing.step = None, doing.step - 1
+                if progress.expires_at is not None:
+                    # The running step counts as not done. If it stayed as it is and the lease then turned out
+                    # to be valid after all, the duty would wait forever for the record of this step.
+                    progress.expires_at = None
+                    progress.step -= 1
                 continue
-            if doing.epoch != epoch:
-                self.doing[name] = doing = Doing(epoch, now, duty.recorded())
-            if doing.until is not None:
-                if now >= doing.until:
-                    self._failed(work, doing, now)
-            elif now >= doing.due and duty.recorded() >= doing.step:
-                waiting.append((doing.due, name))
-        begun = []
-        for _, name in sorted(waiting)[: max(0, self.together - self._under_way())]:
-            doing, duty = self.doing[name], self.duties[name]
-            doing.step, doing.begun = doing.step + 1, now
-            doing.until = min(now + self.works[name].deadline, duty.until)
-            begun.append(Effect(name, doing.epoch, doing.step, doing.until))
-        return begun
-
-    def did(self, effect: Effect, taken: bool, now: float) -> None:
-        """How an effect ended, as its receiver said; where nothing was heard, not taken."""
-        doing = self.doing[effect.duty]
-        if (doing.epoch, doing.step) != (effect.epoch, effect.step) or doing.until is None:
+            if progress.epoch != epoch:
+                self.progress[name] = progress = DutyProgress(epoch, now, duty.recorded())
+            if progress.expires_at is not None:
+                if now >= progress.expires_at:
+                    self._schedule_retry(schedule, progress, now)
+            elif now >= progress.due and duty.recorded() >= progress.step:
+                ready.append((progress.due, name))
+        started = []
+        for _, name in sorted(ready)[: max(0, self.max_concurrent - self._running_steps())]:
+            progress = self.progress[name]
+            progress.step += 1
+            progress.started_at = now
+            progress.expires_at = min(now + self.schedules[name].deadline_ms, self.duties[name].until)
+            started.append(Effect(name, progress.epoch, progress.step, progress.expires_at))
+        return started
+
+    def finish(self, effect: Effect, taken: bool, now: float) -> None:
+        """Handles the receiver's answer to an effect; without an answer the effect counts as not taken."""
+        progress = self.progress[effect.duty]
+        is_current = (progress.epoch, progress.step) == (effect.epoch, effect.step)
+        if not is_current or progress.expires_at is None:
             return
-        work = self.works[effect.duty]
+        schedule = self.schedules[effect.duty]
         if not taken:
-            self._failed(work, doing, now)
+            self._schedule_retry(schedule, progress, now)
             return
-        doing.until, doing.failures = None, 0
-        doing.due = now + max(work.every, self._rest(work, doing, now))
+        progress.expires_at = None
+        progress.failures = 0
+        progress.due = now + max(schedule.interval_ms, self._idle_ms(schedule, progress, now))
         self.duties[effect.duty].advance(effect.step)
 
-    def _failed(self, work: Work, doing: Doing, now: float) -> None:
-        """The same step again, later each time: it may have been taken, and its receiver knows a step
-        again."""
-        doing.until, doing.step = None, doing.step - 1
-        wait = work.back_off * 2.0 ** min(doing.failures, 4)
-        doing.due = now + max(wait, self._rest(work, doing, now))
-        doing.failures += 1
+    def _schedule_retry(self, schedule: DutySchedule, progress: DutyProgress, now: float) -> None:
+        """Retries the same step with exponential back-off. It may have been taken: its receiver recognizes
+        it."""
+        progress.expires_at = None
+        progress.step -= 1
+        back_off_ms = schedule.back_off_ms * 2.0 ** min(progress.failures, MAX_BACK_OFF_DOUBLINGS)
+        progress.due = now + max(back_off_ms, self._idle_ms(schedule, progress, now))
+        progress.failures += 1
 
     @staticmethod
-    def _rest(work: Work, doing: Doing, now: float) -> float:
-        """How long nothing of the duty may be under way after a step that ends now."""
-        return (now - doing.begun) * (1.0 / work.share - 1.0)
+    def _idle_ms(schedule: DutySchedule, progress: DutyProgress, now: float) -> float:
+        """How long no step of the duty may run after one that ends now, which keeps to `max_share`."""
+        return (now - progress.started_at) * (1.0 / schedule.max_share - 1.0)
 
-    def _under_way(self) -> int:
+    def _running_steps(self) -> int:
         return sum(
-            one.until is not None and self.duties[name].epoch is not None for name, one in self.doing.items()
+            progress.expires_at is not None and self.duties[name].epoch is not None
+            for name, progress in self.progress.items()
         )
--- a/rig/multi_node/member.py
+++ b/rig/multi_node/member.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from myrtlecrank.fleet.member import Fleet, Plan
-from myrtlecrank.fleet.membership.messages import Rumour, State
+from myrtlecrank.fleet.member import FleetConfig, FleetMember
+from myrtlecrank.fleet.membership.messages import MemberUpdate, State
 from myrtlecrank.fleet.messages import Message
 from myrtlecrank.fleet.register.calls import Letter, replies
 from myrtlecrank.fleet.register.caspaxos import Voter
@@ -115,7 +115,7 @@
         world: World,
         name: str,
         zone: str,
-        plan: Plan,
+        plan: FleetConfig,
         names: list[str],
         drift: float,
         carry_out: Callable[[Member, Effect], None],
@@ -135,9 +135,9 @@
         world, host = self.world, self.host
         host.up, host.life = True, host.life + 1
         now = host.clock()
-        me = Rumour(self.name, ("127.0.0.1", 1), self.zone, host.life, State.ALIVE)
+        me = MemberUpdate(self.name, ("127.0.0.1", 1), self.zone, host.life, State.ALIVE)
         seeds = {one: ("127.0.0.1", 1) for one in self.names}
-        self.fleet = Fleet(me, f"{host.life}", seeds, self.plan, world.random.random, now)
+        self.fleet = FleetMember(me, f"{host.life}", seeds, self.plan, world.random.random, now)
         self.voter = VoterHost(host, self.plan.voters, self.disk, trusted, self.send, self.flush_ms)
         self.tick()
 
@@ -164,13 +164,13 @@
             self.voter.ask(sender, message)
             if not isinstance(message, Seated):
                 return
-        self.fleet.heard(sender, message, self.host.clock())
+        self.fleet.handle(sender, message, self.host.clock())
         self.tick()
 
     def tick(self) -> None:
         fleet = self.fleet
         fleet.tick(self.host.clock())
-        out, fleet.out = fleet.out, []
+        out, fleet.outgoing = fleet.outgoing, []
         for to, message in out:
             self.send(to, message)
         effects, fleet.effects = fleet.effects, []
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -8,19 +8,26 @@
 from itertools import pairwise
 from typing import Any
 
-from myrtlecrank.fleet.member import Plan
-from myrtlecrank.fleet.membership.swim import Pace
+from myrtlecrank.fleet.member import FleetConfig
+from myrtlecrank.fleet.membership.swim import MembershipTiming
 from myrtlecrank.fleet.ownership.lease import Terms
 from myrtlecrank.fleet.register.reconfiguration import Reseated
 from myrtlecrank.fleet.register.voter_set import Roster
-from myrtlecrank.fleet.step_scheduler import Effect, Work
+from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 from rig.multi_node.checkers import Away, Resource, at_once
 from rig.multi_node.environment import World
 from rig.multi_node.member import Member, newest
 
 DRIFT = 0.01
 STOP_IN_WRITE = 0.003  # share of effects with a stop between the look at the lease and the bytes
-PACE = Pace(probe=500.0, reply=150.0, helpers=3, suspect=1500.0, forget=60_000.0, swap=5000.0)
+PACE = MembershipTiming(
+    probe_interval_ms=500.0,
+    probe_reply_ms=150.0,
+    helpers=3,
+    min_suspicion_ms=1500.0,
+    forget_ms=60_000.0,
+    exchange_interval_ms=5000.0,
+)
 LONG = 60_000.0  # ms of one play; 30,000 with --quick
 
 
@@ -69,11 +76,11 @@
 AIMS = {"acting_at_once": 1, "owners_at_once": 1, "late_effects_taken": 0, "steps_lost": 0, "steps_twice": 0}
 
 
-def plan_of(scene: Scene) -> Plan:
+def plan_of(scene: Scene) -> FleetConfig:
     voters = tuple(f"m{i}" for i in range(scene.voters))
-    works = tuple(Work(f"duty-{i}", scene.step_every, 400.0, 100.0) for i in range(scene.duties))
+    works = tuple(DutySchedule(f"duty-{i}", scene.step_every, 400.0, 100.0) for i in range(scene.duties))
     terms = Terms.of(scene.lease, DRIFT, scene.lease / 4.0)
-    return Plan(voters, works, terms, PACE, 250.0, 3000.0, scene.watch)
+    return FleetConfig(voters, works, terms, PACE, 250.0, 3000.0, scene.watch)
 
 
 class Play:
@@ -92,7 +99,7 @@
             one.peers = {other.name: other for other in self.members}
         self.script: list[tuple[float, str, str, float]] = []
         self.acted: list[tuple[float, str, str]] = []  # when it was decided, on which duty, by which owner
-        self.away = Away(self.plan.terms.wait + 2.0 * self.plan.terms.look)
+        self.away = Away(self.plan.lease_terms.wait + 2.0 * self.plan.lease_terms.look)
         self.world_seed = seed
         self.voters_changed = 0
         if plant is not None:
@@ -107,7 +114,7 @@
 
     def carry_out(self, member: Member, effect: Effect) -> None:
         world = self.world
-        self.acted.append((world.now, effect.duty, f"{member.fleet.ident} {effect.epoch}"))
+        self.acted.append((world.now, effect.duty, f"{member.fleet.owner_id} {effect.epoch}"))
         if self.scene.faults and world.random.random() < STOP_IN_WRITE:
             # Stopped in the middle of the write: it has looked at its lease, and lets go of the bytes much
             # later.
@@ -116,7 +123,7 @@
         member.host.later(world.now + 0.2, lambda: self.let_go(member, effect))
 
     def let_go(self, member: Member, effect: Effect) -> None:
-        owner = member.fleet.ident
+        owner = member.fleet.owner_id
 
         def arrive() -> None:
             taken = self.resource.offered(self.world.now, owner, effect)
@@ -126,8 +133,8 @@
 
     def answered(self, member: Member, owner: str, effect: Effect, taken: bool) -> None:
         def told() -> None:
-            if member.fleet.ident == owner:
-                member.fleet.did(effect, taken, member.host.clock())
+            if member.fleet.owner_id == owner:
+                member.fleet.finish_effect(effect, taken, member.host.clock())
                 member.tick()
 
         if member.host.up:
@@ -256,7 +263,7 @@
             voters = self.voters()
             drop = self.world.random.choice(voters)
             add = self.world.random.choice([drop, *(other for other in self.members if other not in voters)])
-            one.fleet.reseat([drop.name], [add.name], self.reseated, one.host.clock())
+            one.fleet.replace_voters([drop.name], [add.name], self.reseated, one.host.clock())
             one.tick()
 
     def reseated(self, how: Reseated) -> None:
@@ -266,7 +273,7 @@
         if one.host.up and one.host.stopped_until <= self.world.now:
             one.fleet.leave(one.host.clock())
             one.tick()
-            self.world.at(self.world.now + 400.0, lambda: one.die() if one.fleet.leaving else None)
+            self.world.at(self.world.now + 400.0, lambda: one.die() if one.fleet.is_leaving else None)
             self._back(one, 400.0 + ms)
 
     def _all_voters(self, one: Member, _: list[Member], ms: float) -> None:
@@ -287,7 +294,7 @@
     def run(self) -> Played:
         scene, resource = self.scene, self.resource
         self.world.run(scene.length)
-        names = [work.name for work in self.plan.works]
+        names = [work.name for work in self.plan.schedules]
         # An owner does a step every so often; what is longer without one, beyond a few tries, is unowned.
         usual = 3.0 * scene.step_every
         gaps = resource.gaps(4000.0, scene.length, names)
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -1,5 +1,5 @@
-"""Membership decisions: probes, suspicion, refutation, loss, leave, return; and 50 members on the virtual
-clock."""
+"""The membership protocol: probes, suspicion, refutation, loss, leave and return; and up to 50 members on the
+virtual clock."""
 
 from __future__ import annotations
 
@@ -7,247 +7,281 @@
 
 import pytest
 
-from myrtlecrank.fleet.membership.messages import Ack, Ping, PingFor, Rumour, State, Swap, Word
-from myrtlecrank.fleet.membership.swim import MOST_RUMOURS, WORST_HEALTH, Members, Pace, Send
+from myrtlecrank.fleet.membership.messages import (
+    Ack,
+    MembershipMessage,
+    MemberUpdate,
+    Ping,
+    PingRequest,
+    State,
+    StateExchange,
+)
+from myrtlecrank.fleet.membership.swim import (
+    MAX_LOCAL_HEALTH,
+    MAX_UPDATES_PER_MESSAGE,
+    Membership,
+    MembershipTiming,
+    Outgoing,
+)
 from rig.multi_node.environment import World
 
-PACE = Pace(probe=500.0, reply=150.0, helpers=3, suspect=1500.0, forget=60_000.0, swap=5000.0)
-HERE = ("127.0.0.1", 1)
+TIMING = MembershipTiming(
+    probe_interval_ms=500.0,
+    probe_reply_ms=150.0,
+    helpers=3,
+    min_suspicion_ms=1500.0,
+    forget_ms=60_000.0,
+    exchange_interval_ms=5000.0,
+)
+ADDRESS = ("127.0.0.1", 1)
 
 
-def rumour(name: str, incarnation: int = 1, state: State = State.ALIVE, by: str = "") -> Rumour:
-    return Rumour(name, HERE, "z", incarnation, state, True, by)
+def update(
+    name: str, incarnation: int = 1, state: State = State.ALIVE, suspected_by: str = ""
+) -> MemberUpdate:
+    return MemberUpdate(name, ADDRESS, "z", incarnation, state, True, suspected_by)
 
 
-def members(me: str = "a", *others: str) -> Members:
-    view = Members(rumour(me), dict.fromkeys(others, HERE), PACE, Random(1).random, 0.0)
+def membership_of(local: str = "a", *others: str) -> Membership:
+    """The membership of one member that knows the others as alive."""
+    membership = Membership(update(local), dict.fromkeys(others, ADDRESS), TIMING, Random(1).random, 0.0)
     for name in others:
-        view.heard(name, Swap(False, [rumour(name)]), 0.0)
-    view.changes.clear()
-    return view
+        membership.handle(name, StateExchange(False, [update(name)]), 0.0)
+    membership.state_changes.clear()
+    return membership
 
 
-def say(view: Members, told: Rumour, now: float = 0.0) -> None:
-    view.heard("x", Swap(False, [told]), now)
+def receive(membership: Membership, received: MemberUpdate, now: float = 0.0) -> None:
+    membership.handle("x", StateExchange(False, [received]), now)
 
 
-def words(sends: list[Send], kind: type) -> list[tuple[str, Word]]:
-    return [(to, word) for to, word in sends if isinstance(word, kind)]
+def sent_of(sends: list[Outgoing], kind: type) -> list[tuple[str, MembershipMessage]]:
+    """The outgoing messages of one type."""
+    return [(to, message) for to, message in sends if isinstance(message, kind)]
 
 
-def test_who_knows_nobody_asks_a_seed() -> None:
-    view = Members(rumour("a"), {"a": HERE, "s": HERE}, PACE, Random(1).random, 0.0)
-    assert {to for to, _ in words(view.tick(0.0), Swap)} == {"s"}
+def test_a_member_that_knows_no_other_contacts_a_seed() -> None:
+    membership = Membership(update("a"), {"a": ADDRESS, "s": ADDRESS}, TIMING, Random(1).random, 0.0)
+    assert {to for to, _ in sent_of(membership.tick(0.0), StateExchange)} == {"s"}
 
 
-def test_a_probe_without_an_answer_goes_by_others_and_then_makes_a_suspect() -> None:
-    view = members("a", "b", "c", "d")
-    (target, _), *_ = words(view.tick(0.0), Ping)
-    asked = words(view.tick(151.0), PingFor)
-    assert len(asked) == 2 and all(isinstance(w, PingFor) and w.target == target for _, w in asked)
-    view.tick(451.0)
-    assert view.state(target) is State.SUSPECT and target in view.there() and target not in view.fit()
+def test_an_unanswered_probe_is_repeated_indirectly_and_then_raises_a_suspicion() -> None:
+    membership = membership_of("a", "b", "c", "d")
+    (target, _), *_ = sent_of(membership.tick(0.0), Ping)
+    requests = sent_of(membership.tick(151.0), PingRequest)
+    assert len(requests) == 2
+    assert all(isinstance(one, PingRequest) and one.target == target for _, one in requests)
+    membership.tick(451.0)
+    assert membership.state(target) is State.SUSPECT
+    assert target in membership.active() and target not in membership.eligible()
 
 
-def test_an_answer_through_a_helper_saves_the_probed() -> None:
-    view = members("a", "b", "c")
-    (target, ping), *_ = words(view.tick(0.0), Ping)
-    view.tick(151.0)
+def test_an_answer_to_an_indirect_probe_prevents_the_suspicion() -> None:
+    membership = membership_of("a", "b", "c")
+    (target, ping), *_ = sent_of(membership.tick(0.0), Ping)
+    membership.tick(151.0)
     helper = "c" if target == "b" else "b"
-    view.heard(helper, Ack(ping.seq, []), 200.0)  # type: ignore[union-attr]
-    view.tick(451.0)
-    assert view.state(target) is State.ALIVE
+    membership.handle(helper, Ack(ping.seq, []), 200.0)  # type: ignore[union-attr]
+    membership.tick(451.0)
+    assert membership.state(target) is State.ALIVE
 
 
-def test_a_helper_probes_and_passes_the_answer_on() -> None:
-    view = members("h", "a", "b")
-    ((to, ping),) = view.heard("a", PingFor(7, "b", []), 0.0)
+def test_a_helper_probes_and_forwards_the_answer() -> None:
+    membership = membership_of("h", "a", "b")
+    ((to, ping),) = membership.handle("a", PingRequest(7, "b", []), 0.0)
     assert to == "b" and isinstance(ping, Ping)
-    ((back, ack),) = view.heard("b", Ack(ping.seq, []), 10.0)
-    assert back == "a" and isinstance(ack, Ack) and ack.seq == 7
+    ((requester, ack),) = membership.handle("b", Ack(ping.seq, []), 10.0)
+    assert requester == "a" and isinstance(ack, Ack) and ack.seq == 7
 
 
-def test_suspicion_ends_in_loss_sooner_the_more_confirm_it() -> None:
+def test_the_suspicion_timeout_shortens_with_each_confirmation() -> None:
     ends = []
-    for doubters in (["b"], ["b", "c"], ["b", "c", "d", "e"]):
-        view = members("a", "t", "b", "c", "d", "e")
-        for one in doubters:
-            say(view, rumour("t", 1, State.SUSPECT, one))
-        ends.append(view._ends(view.members["t"]))
-    assert ends[0] == 6.0 * PACE.suspect and ends[0] > ends[1] > ends[2] == PACE.suspect
+    for suspecting in (["b"], ["b", "c"], ["b", "c", "d", "e"]):
+        membership = membership_of("a", "t", "b", "c", "d", "e")
+        for one in suspecting:
+            receive(membership, update("t", 1, State.SUSPECT, one))
+        ends.append(membership._suspicion_end(membership.peers["t"]))
+    assert ends[0] == 6.0 * TIMING.min_suspicion_ms
+    assert ends[0] > ends[1] > ends[2] == TIMING.min_suspicion_ms
 
 
-def test_the_same_doubter_counts_once() -> None:
-    view = members("a", "t", "b")
+def test_the_same_suspecting_member_counts_once() -> None:
+    membership = membership_of("a", "t", "b")
     for _ in range(5):
-        say(view, rumour("t", 1, State.SUSPECT, "b"))
-    assert view._ends(view.members["t"]) == 6.0 * PACE.suspect
+        receive(membership, update("t", 1, State.SUSPECT, "b"))
+    assert membership._suspicion_end(membership.peers["t"]) == 6.0 * TIMING.min_suspicion_ms
 
 
 @pytest.mark.parametrize("state", [State.SUSPECT, State.LOST, State.LEFT])
-def test_a_rumour_of_ones_own_end_is_refuted_by_a_higher_incarnation(state: State) -> None:
-    view = members("a", "b")
-    say(view, rumour("a", 1, state, "b"))
-    assert view.me.incarnation == 2 and view.me.state is State.ALIVE
-    told = [r for _, ping in words(view.tick(0.0), Ping) for r in ping.rumours]
-    assert rumour("a", 2) in told
+def test_a_member_refutes_an_update_on_itself_by_a_higher_incarnation(state: State) -> None:
+    membership = membership_of("a", "b")
+    receive(membership, update("a", 1, state, "b"))
+    assert membership.local.incarnation == 2 and membership.local.state is State.ALIVE
+    sent = [one for _, ping in sent_of(membership.tick(0.0), Ping) for one in ping.updates]
+    assert update("a", 2) in sent
 
 
-def test_an_earlier_start_that_got_further_is_stood_above() -> None:
-    view = members("a", "b")
-    say(view, rumour("a", 9))
-    assert view.me.incarnation == 10
+def test_the_incarnation_rises_above_that_of_an_earlier_start() -> None:
+    membership = membership_of("a", "b")
+    receive(membership, update("a", 9))
+    assert membership.local.incarnation == 10
 
 
-def test_a_suspect_hears_of_it_with_the_next_probe() -> None:
-    view = members("a", "b")
-    say(view, rumour("b", 1, State.SUSPECT, "c"))
+def test_each_message_to_a_suspect_tells_it_that_it_is_suspected() -> None:
+    membership = membership_of("a", "b")
+    receive(membership, update("b", 1, State.SUSPECT, "c"))
     for _ in range(60):
-        assert rumour("b", 1, State.SUSPECT, "c") in view._rumours("b")
+        assert update("b", 1, State.SUSPECT, "c") in membership._updates_for("b")
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "stands"),
+    ("old", "new", "is_applied"),
     [
-        (rumour("b", 2), rumour("b", 1, State.LOST), False),
-        (rumour("b", 2, State.SUSPECT), rumour("b", 2), False),
-        (rumour("b", 2, State.LOST), rumour("b", 3), True),
-        (rumour("b", 2, State.LOST), rumour("b", 2, State.LEFT), True),
-        (rumour("b", 2, State.LEFT), rumour("b", 2, State.LOST), False),
+        (update("b", 2), update("b", 1, State.LOST), False),
+        (update("b", 2, State.SUSPECT), update("b", 2), False),
+        (update("b", 2, State.LOST), update("b", 3), True),
+        (update("b", 2, State.LOST), update("b", 2, State.LEFT), True),
+        (update("b", 2, State.LEFT), update("b", 2, State.LOST), False),
     ],
 )
-def test_of_two_rumours_the_higher_incarnation_stands_then_the_worse_state(
-    old: Rumour, new: Rumour, stands: bool
+def test_the_update_with_the_higher_incarnation_wins_then_the_one_with_the_higher_state(
+    old: MemberUpdate, new: MemberUpdate, is_applied: bool
 ) -> None:
-    view = members("a", "b")
-    say(view, old)
-    say(view, new)
-    assert view.members["b"].told == (new if stands else old)
+    membership = membership_of("a", "b")
+    receive(membership, old)
+    receive(membership, new)
+    assert membership.peers["b"].update == (new if is_applied else old)
 
 
-def test_nobody_is_made_known_by_news_of_its_death() -> None:
-    view = members("a", "b")
-    say(view, rumour("ghost", 3, State.LOST))
-    assert view.state("ghost") is None
+def test_an_unknown_member_is_not_added_by_the_report_of_its_loss() -> None:
+    membership = membership_of("a", "b")
+    receive(membership, update("unknown", 3, State.LOST))
+    assert membership.state("unknown") is None
 
 
-def test_members_are_bounded() -> None:
-    view = members("a")
-    view.most = 3
-    view.heard("x", Swap(False, [rumour(f"n{i}") for i in range(10)]), 0.0)
-    assert len(view.members) == 3
+def test_the_number_of_members_is_limited() -> None:
+    membership = membership_of("a")
+    membership.max_members = 3
+    membership.handle("x", StateExchange(False, [update(f"n{i}") for i in range(10)]), 0.0)
+    assert len(membership.peers) == 3
 
 
-def test_a_message_holds_a_bounded_number_of_rumours() -> None:
-    view = members("a", *(f"n{i}" for i in range(60)))
-    assert len(view._rumours("n1")) <= MOST_RUMOURS
+def test_the_number_of_updates_in_a_message_is_limited() -> None:
+    membership = membership_of("a", *(f"n{i}" for i in range(60)))
+    assert len(membership._updates_for("n1")) <= MAX_UPDATES_PER_MESSAGE
 
 
-def test_an_ill_process_suspects_later() -> None:
-    view = members("a", "b", "c")
-    say(view, rumour("b", 1, State.SUSPECT, "c"))
-    before = view._ends(view.members["b"])
-    view.health = 2
-    assert view._ends(view.members["b"]) == 3.0 * before
+def test_poor_local_health_lengthens_the_suspicion_timeout() -> None:
+    membership = membership_of("a", "b", "c")
+    receive(membership, update("b", 1, State.SUSPECT, "c"))
+    before = membership._suspicion_end(membership.peers["b"])
+    membership.local_health = 2
+    assert membership._suspicion_end(membership.peers["b"]) == 3.0 * before
 
 
-def test_after_a_pause_of_its_own_it_holds_nobody_for_lost() -> None:
-    view = members("a", "b", "c")
-    view.tick(0.0)
-    say(view, rumour("b", 1, State.SUSPECT, "c"), 10.0)
-    view.tick(60_000.0)
-    assert view.state("b") is State.SUSPECT and 0 < view.health <= WORST_HEALTH
+def test_after_a_pause_of_its_own_a_process_declares_no_member_lost() -> None:
+    membership = membership_of("a", "b", "c")
+    membership.tick(0.0)
+    receive(membership, update("b", 1, State.SUSPECT, "c"), 10.0)
+    membership.tick(60_000.0)
+    assert membership.state("b") is State.SUSPECT and 0 < membership.local_health <= MAX_LOCAL_HEALTH
 
 
-def test_who_leaves_is_not_held_for_lost_and_takes_nothing() -> None:
-    view = members("a", "b", "c")
-    sends = view.leave()
-    other = members("b", "a")
-    other.heard("a", sends[0][1], 5.0)
-    assert other.state("a") is State.LEFT and "a" not in other.there() and view.fit() == ["b", "c"]
+def test_a_leaving_member_counts_as_left_and_not_as_lost() -> None:
+    membership = membership_of("a", "b", "c")
+    sends = membership.leave()
+    other = membership_of("b", "a")
+    other.handle("a", sends[0][1], 5.0)
+    assert other.state("a") is State.LEFT and "a" not in other.active()
+    assert membership.eligible() == ["b", "c"]
 
 
-def test_one_under_duress_is_there_but_not_fit() -> None:
-    view, other = members("a", "b"), members("b", "a")
-    view.feel(False)
-    other.heard("a", view._swap(False), 0.0)
-    assert other.there() == ["a", "b"] and other.fit() == ["b"]
+def test_a_member_under_duress_is_active_but_not_eligible() -> None:
+    membership, other = membership_of("a", "b"), membership_of("b", "a")
+    membership.set_eligible(False)
+    other.handle("a", membership._state_exchange(False), 0.0)
+    assert other.active() == ["a", "b"] and other.eligible() == ["b"]
 
 
-def test_the_lost_are_forgotten_in_time_and_tried_until_then() -> None:
-    view = members("a", "b")
-    say(view, rumour("b", 1, State.LOST), 0.0)
-    tried = {to for now in range(0, 60_000, 100) for to, _ in words(view.tick(float(now)), Swap)}
-    assert tried == {"b"}
-    view.tick(60_001.0)
-    assert view.state("b") is None
+def test_a_lost_member_is_contacted_until_it_is_forgotten() -> None:
+    membership = membership_of("a", "b")
+    receive(membership, update("b", 1, State.LOST), 0.0)
+    contacted = {
+        to for now in range(0, 60_000, 100) for to, _ in sent_of(membership.tick(float(now)), StateExchange)
+    }
+    assert contacted == {"b"}
+    membership.tick(60_001.0)
+    assert membership.state("b") is None
 
 
-class Crowd:
-    """So many members' decisions on the virtual clock."""
+class Cluster:
+    """The membership decisions of `count` members on the virtual clock."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.world = World(seed)
         names = [f"n{i}" for i in range(count)]
-        self.up = set(names)
-        self.views = {
-            name: Members(rumour(name), {"n0": HERE, "n1": HERE}, PACE, self.world.random.random, 0.0)
-            for name in names
-        }
+        self.running = set(names)
+        seeds = {"n0": ADDRESS, "n1": ADDRESS}
+        random = self.world.random.random
+        self.memberships = {name: Membership(update(name), seeds, TIMING, random, 0.0) for name in names}
         for name in names:
-            self.wake(name)
-
-    def wake(self, name: str) -> None:
-        view = self.views[name]
-        if name in self.up:
-            self.send(name, view.tick(self.world.now))
-        self.world.at(max(view.due(), self.world.now + 10.0), lambda: self.wake(name))
-
-    def send(self, source: str, sends: list[Send]) -> None:
-        for to, word in sends:
-            self.world.carry(source, to, 100, lambda to=to, word=word: self.arrive(source, to, word))
-
-    def arrive(self, source: str, to: str, word: Word) -> None:
-        if to in self.up:
-            self.send(to, self.views[to].heard(source, word, self.world.now))
-
-    def agree(self) -> bool:
-        return all(set(self.views[name].there()) == self.up for name in self.up)
-
-
-def test_fifty_members_agree_on_a_loss_and_on_a_return_within_a_stated_time() -> None:
-    """All know all within 15 s of a common start; a death within 20 s, the return within 10 s."""
-    crowd = Crowd(50, 1)
-    crowd.world.run(15_000.0)
-    assert crowd.agree()
-    crowd.up -= {"n7", "n8"}
-    crowd.world.run(35_000.0)
-    assert crowd.agree()
-    crowd.up |= {"n7", "n8"}
-    crowd.world.run(45_000.0)
-    assert crowd.agree()
-
-
-def test_messages_a_member_are_flat_in_the_number_of_members() -> None:
+            self.tick(name)
+
+    def tick(self, name: str) -> None:
+        membership = self.memberships[name]
+        if name in self.running:
+            self.send(name, membership.tick(self.world.now))
+        self.world.at(max(membership.due(), self.world.now + 10.0), lambda: self.tick(name))
+
+    def send(self, source: str, sends: list[Outgoing]) -> None:
+        for to, message in sends:
+            self.world.carry(
+                source, to, 100, lambda to=to, message=message: self.deliver(source, to, message)
+            )
+
+    def deliver(self, source: str, to: str, message: MembershipMessage) -> None:
+        if to in self.running:
+            self.send(to, self.memberships[to].handle(source, message, self.world.now))
+
+    def is_agreed(self) -> bool:
+        """All running members know exactly the running members as active."""
+        return all(set(self.memberships[name].active()) == self.running for name in self.running)
+
+
+def test_fifty_members_agree_on_losses_and_on_returns_within_a_stated_time() -> None:
+    """All know all within 15 s of a common start; they agree within 20 s of two losses and within 10 s of the
+    return."""
+    cluster = Cluster(50, 1)
+    cluster.world.run(15_000.0)
+    assert cluster.is_agreed()
+    cluster.running -= {"n7", "n8"}
+    cluster.world.run(35_000.0)
+    assert cluster.is_agreed()
+    cluster.running |= {"n7", "n8"}
+    cluster.world.run(45_000.0)
+    assert cluster.is_agreed()
+
+
+def test_the_message_rate_of_a_member_does_not_grow_with_the_number_of_members() -> None:
     rates = []
     for count in (5, 20, 50):
-        crowd = Crowd(count, 2)
-        crowd.world.run(20_000.0)
-        before = crowd.world.messages
-        crowd.world.run(40_000.0)
-        rates.append((crowd.world.messages - before) / count / 20.0)
+        cluster = Cluster(count, 2)
+        cluster.world.run(20_000.0)
+        before = cluster.world.messages
+        cluster.world.run(40_000.0)
+        rates.append((cluster.world.messages - before) / count / 20.0)
     assert max(rates) < 1.3 * min(rates), rates
 
 
-def test_the_halves_of_a_long_partition_find_each_other_again() -> None:
-    crowd = Crowd(10, 3)
-    crowd.world.run(10_000.0)
-    names = sorted(crowd.up)
+def test_the_sides_of_a_long_partition_find_each_other_again() -> None:
+    cluster = Cluster(10, 3)
+    cluster.world.run(10_000.0)
+    names = sorted(cluster.running)
     for a in names[:5]:
         for b in names[5:]:
-            crowd.world.cut(a, b, 40_000.0)
-            crowd.world.cut(b, a, 40_000.0)
-    crowd.world.run(39_000.0)
-    assert crowd.views[names[0]].there() == names[:5]
-    crowd.world.run(70_000.0)
-    assert crowd.agree()
+            cluster.world.cut(a, b, 40_000.0)
+            cluster.world.cut(b, a, 40_000.0)
+    cluster.world.run(39_000.0)
+    assert cluster.memberships[names[0]].active() == names[:5]
+    cluster.world.run(70_000.0)
+    assert cluster.is_agreed()
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from myrtlecrank.fleet.member import Fleet, Plan
-from myrtlecrank.fleet.membership.messages import Rumour, State
-from myrtlecrank.fleet.membership.swim import Pace
+from myrtlecrank.fleet.member import FleetConfig, FleetMember
+from myrtlecrank.fleet.membership.messages import MemberUpdate, State
+from myrtlecrank.fleet.membership.swim import MembershipTiming
 from myrtlecrank.fleet.options import Bounds, DutyOf, taken_over, waiting
 from myrtlecrank.fleet.ownership.lease import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
 from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
-from myrtlecrank.fleet.step_scheduler import Effect, Steps, Work
+from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
 from rig.multi_node.ownership_model_check import Walk, believes_a_glance, counts_from_the_answer, one_turn
 
 TERMS = Terms.of(1000.0, 0.01, 250.0)
@@ -236,15 +236,17 @@
 
 # -- one member's steps
 
-WORK = Work("d", 100.0, 400.0, 50.0)
-PACE = Pace(500.0, 150.0, 3, 1500.0, 60_000.0, 5000.0)
+WORK = DutySchedule("d", 100.0, 400.0, 50.0)
+PACE = MembershipTiming(500.0, 150.0, 3, 1500.0, 60_000.0, 5000.0)
 
 
-def owner() -> Fleet:
+def owner() -> FleetMember:
     """A fleet of one member and one voter that owns its duty since 0."""
-    plan = Plan(("v",), (WORK,), TERMS, PACE, 250.0, 3000.0)
-    fleet = Fleet(Rumour("a", ("127.0.0.1", 1), "z", 1, State.ALIVE), "1", {}, plan, lambda: 0.5, 0.0)
-    fleet.duties["d"] = taken(fleet.ident)
+    plan = FleetConfig(("v",), (WORK,), TERMS, PACE, 250.0, 3000.0)
+    fleet = FleetMember(
+        MemberUpdate("a", ("127.0.0.1", 1), "z", 1, State.ALIVE), "1", {}, plan, lambda: 0.5, 0.0
+    )
+    fleet.duties["d"] = taken(fleet.owner_id)
     return fleet
 
 
@@ -252,7 +254,7 @@
     fleet = owner()
     fleet.tick(20.0)
     assert fleet.effects == [Effect("d", 1, 1, 420.0)]
-    fleet.did(fleet.effects.pop(), True, 30.0)
+    fleet.finish_effect(fleet.effects.pop(), True, 30.0)
     fleet.tick(200.0)
     assert not fleet.effects
     duty = fleet.duties["d"]
@@ -272,7 +274,7 @@
         if fleet.effects:
             times.append(now)
             assert fleet.effects[0].step == 1
-            fleet.did(fleet.effects.pop(), False, now)
+            fleet.finish_effect(fleet.effects.pop(), False, now)
         now += 1.0
     assert [round(b - a) for a, b in pairwise(times)] == [50, 100, 200]
 
@@ -286,7 +288,7 @@
     fleet.effects.clear()
     duty.due = 1e9
     fleet.tick(1500.0)
-    assert duty.epoch is None and fleet.steps.doing["d"].until is None
+    assert duty.epoch is None and fleet.scheduler.progress["d"].expires_at is None
     duty.epoch, duty.until = 1, 3000.0  # a renewal had come through after all
     fleet.tick(1600.0)
     assert [(one.epoch, one.step) for one in fleet.effects] == [(first.epoch, first.step)]
@@ -294,10 +296,10 @@
 
 def test_an_effect_has_until_its_deadline_or_the_end_of_the_lease() -> None:
     fleet = owner()
-    fleet.steps.doing["d"].epoch, fleet.steps.doing["d"].due = 1, 0.0
+    fleet.scheduler.progress["d"].epoch, fleet.scheduler.progress["d"].due = 1, 0.0
     fleet.duties["d"].due = 1e9
     fleet.tick(900.0)
-    assert fleet.effects[0].until == 1000.0
+    assert fleet.effects[0].expires_at == 1000.0
 
 
 def test_without_its_lease_it_begins_nothing() -> None:
@@ -310,57 +312,57 @@
     fleet = owner()
     fleet.leave(100.0)
     asked = fleet.duties["d"].asked
-    assert isinstance(asked, Put) and asked.lease.owner == "" and fleet.members.me.state is State.LEFT
+    assert isinstance(asked, Put) and asked.lease.owner == "" and fleet.membership.local.state is State.LEFT
 
 
 # -- budgets of the scheduler
 
 
-def several(together: int, **works: Work) -> Steps:
+def several(together: int, **works: DutySchedule) -> StepScheduler:
     """Steps of duties that are all owned until 1000."""
     duties = {name: taken() for name in works}
-    return Steps(works.values(), duties, together)
+    return StepScheduler(works.values(), duties, together)
 
 
 def test_no_more_steps_are_under_way_than_one_member_may_have_and_none_starves() -> None:
-    steps = several(2, **{name: Work(name, 10.0, 400.0, 50.0) for name in "abcd"})
+    steps = several(2, **{name: DutySchedule(name, 10.0, 400.0, 50.0) for name in "abcd"})
     begun: list[str] = []
     now = 20.0
     for _ in range(12):
         effects = steps.tick(now)
-        assert steps._under_way() <= 2
+        assert steps._running_steps() <= 2
         begun += [one.duty for one in effects]
         now += 15.0
         for effect in effects:
-            steps.did(effect, True, now)
+            steps.finish(effect, True, now)
             steps.duties[effect.duty].lease = Lease("a/1", 1, 1, "", effect.step)  # recorded
     assert {name: begun.count(name) for name in "abcd"} == dict.fromkeys("abcd", 6)
 
 
 def test_a_full_member_waits_for_an_end_and_not_for_a_due_time() -> None:
-    steps = several(1, a=Work("a", 10.0, 400.0, 50.0), b=Work("b", 10.0, 300.0, 50.0))
+    steps = several(1, a=DutySchedule("a", 10.0, 400.0, 50.0), b=DutySchedule("b", 10.0, 300.0, 50.0))
     (first,) = steps.tick(20.0)
     assert first.duty == "a" and steps.due() == 420.0 and not steps.tick(100.0)
-    steps.did(first, False, 120.0)
+    steps.finish(first, False, 120.0)
     assert [one.duty for one in steps.tick(121.0)] == ["b"]
 
 
 @pytest.mark.parametrize(("share", "next_at"), [(1.0, 130.0), (0.25, 420.0), (0.5, 220.0)])
 def test_a_duty_keeps_to_its_share_of_time(share: float, next_at: float) -> None:
     """A step of 100 ms; what follows it is the wait between steps, or longer where the share asks for it."""
-    steps = several(1, a=Work("a", 10.0, 400.0, 50.0, share))
+    steps = several(1, a=DutySchedule("a", 10.0, 400.0, 50.0, share))
     (first,) = steps.tick(20.0)
-    steps.did(first, True, 120.0)
+    steps.finish(first, True, 120.0)
     steps.duties["a"].lease = Lease("a/1", 1, 1, "", 1)
     assert steps.due() == pytest.approx(next_at)
     assert not steps.tick(next_at - 0.1) and steps.tick(next_at)
 
 
 def test_failures_count_into_the_share_too() -> None:
-    steps = several(1, a=Work("a", 10.0, 400.0, 50.0, 0.1))
+    steps = several(1, a=DutySchedule("a", 10.0, 400.0, 50.0, 0.1))
     (first,) = steps.tick(20.0)
-    steps.tick(first.until)
-    assert steps.due() == pytest.approx(first.until + 3600.0)
+    steps.tick(first.expires_at)
+    assert steps.due() == pytest.approx(first.expires_at + 3600.0)
 
 
 def test_a_file_read_anew_changes_how_duties_are_worked_on_and_nothing_else() -> None:
@@ -388,10 +390,24 @@
 def test_steps_go_on_under_figures_that_were_taken_over() -> None:
     fleet = owner()
     fleet.tick(20.0)
-    fleet.retune(Plan(("x",), (Work("d", 1000.0, 50.0, 50.0, 0.5),), TERMS, PACE, 9.0, 7.0, together=1))
+    fleet.apply_config(
+        FleetConfig(
+            ("x",),
+            (DutySchedule("d", 1000.0, 50.0, 50.0, 0.5),),
+            TERMS,
+            PACE,
+            9.0,
+            7.0,
+            max_concurrent_steps=1,
+        )
+    )
     (first,) = fleet.effects
-    fleet.did(first, True, 30.0)
-    assert fleet.steps.doing["d"].due == 1030.0 and fleet.plan.voters == ("v",) and fleet.plan.reply == 250.0
+    fleet.finish_effect(first, True, 30.0)
+    assert (
+        fleet.scheduler.progress["d"].due == 1030.0
+        and fleet.config.voters == ("v",)
+        and fleet.config.register_reply_ms == 250.0
+    )
 
 
 # -- all orders of events
--- a/tests/test_fleet_peer_links.py
+++ b/tests/test_fleet_peer_links.py
@@ -19,7 +19,7 @@
 
 from myrtlecrank import subsystems
 from myrtlecrank.fleet.membership.messages import Ack, Ping
-from myrtlecrank.fleet.messages import VERSION, Hello, Message, Report, Tell
+from myrtlecrank.fleet.messages import VERSION, Hello, Message, Query, Report
 from myrtlecrank.fleet.options import Bounds
 from myrtlecrank.fleet.peer_links import LENGTH, LONGEST, OPERATOR, Links, Reader, RefusedError, packed
 
@@ -146,7 +146,7 @@
     held = gevent.event.Event()
     ends[1].heard = lambda sender, message: held.wait()
     ends[0].send("b", Ping(1, []))
-    sock, reader = said_to(ends[1], Hello(VERSION, "f", OPERATOR), Tell("members"))
+    sock, reader = said_to(ends[1], Hello(VERSION, "f", OPERATOR), Query("members"))
     sock.settimeout(20)
     assert isinstance(reader.next(), Hello) and reader.next() == Report([{"x": 1}])
     held.set()
