--- a/myrtlecrank/fleet/__init__.py
+++ b/myrtlecrank/fleet/__init__.py
@@ -1,2 +1,2 @@
-"""Several backends as a fleet: the register that says one thing, and who owns which duty. Off by default, and
-not imported then."""
+"""Several backends as a fleet: a replicated register with linearizable changes, and leases on the duties of
+the fleet. Off by default, and not imported then."""
--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -1,4 +1,4 @@
-"""The actors of the fleet in one process: the member, its voter where it is one, and the links."""
+"""The actors of the fleet in one process: the member, its voter if it has one, and the peer links."""
 
 from __future__ import annotations
 
@@ -21,81 +21,103 @@
 from myrtlecrank.fleet.membership.swim import MembershipTiming
 from myrtlecrank.fleet.messages import Message, Query, ReplaceVoters, Report, Row, StepDown
 from myrtlecrank.fleet.monitor.messages import Gauges
-from myrtlecrank.fleet.options import Bounds, address, taken_over, waiting
+from myrtlecrank.fleet.options import Bounds, apply_reloadable, parse_address, unapplied_options
 from myrtlecrank.fleet.ownership.lease import Terms, member_of
-from myrtlecrank.fleet.peer_links import Links
-from myrtlecrank.fleet.register.calls import Letter as VoterLetter
+from myrtlecrank.fleet.peer_links import PeerLinks
+from myrtlecrank.fleet.register.calls import Letter as VoterMessage
 from myrtlecrank.fleet.register.calls import replies
 from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import Disk, TornError, encode
 from myrtlecrank.fleet.register.messages import Memory, Seated
 from myrtlecrank.fleet.register.reconfiguration import Reseated
-from myrtlecrank.fleet.step_client import Receiver
+from myrtlecrank.fleet.step_client import StepClient
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 
-MAILBOX = 4096
-REJOIN_MS = 500.0
-RESEAT_S = 20.0  # how long an operator waits for voters to be replaced
-FORGET_MS = 3_600_000.0
-WARM = 0.5  # of the machine: below it no duty is taken
+MAILBOX_MESSAGES = 4096
+REJOIN_INTERVAL_MS = 500.0
+REPLACE_VOTERS_TIMEOUT_S = 20.0  # how long an operator waits for the result
+FORGET_MEMBER_MS = 3_600_000.0
+EXCHANGE_PROBE_INTERVALS = 10.0  # probe intervals between two full state exchanges
+READS_PER_LEASE = 4.0  # how often in the length of a lease a duty's record is read
+MIN_WARMTH = 0.5  # a colder machine takes no duty
+MIN_WAIT_MS = 0.5  # of the actor, for timers that are due already
+MAX_ECHOED_CHARS = 60  # of an operator's text in an error message
 
 
-def mono_ms() -> float:
-    """Runs on while the process is stopped and while the machine sleeps, and is never stepped."""
+def monotonic_ms() -> float:
+    """Time in ms that continues while the process is stopped or the machine sleeps, and is never stepped."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6
 
 
-def plan_of(bounds: Bounds) -> FleetConfig:
-    pace = MembershipTiming(
+def fleet_config(bounds: Bounds) -> FleetConfig:
+    """The member's configuration from the operators' options."""
+    timing = MembershipTiming(
         bounds.probe_ms,
         bounds.probe_reply_ms,
         bounds.helpers,
         bounds.suspect_ms,
-        FORGET_MS,
-        10.0 * bounds.probe_ms,
+        FORGET_MEMBER_MS,
+        EXCHANGE_PROBE_INTERVALS * bounds.probe_ms,
     )
-    duties = bounds.duties.items()
-    works = tuple(
-        DutySchedule(name, one.every_ms, one.deadline_ms, one.back_off_ms, one.share) for name, one in duties
+    schedules = tuple(
+        DutySchedule(name, duty.every_ms, duty.deadline_ms, duty.back_off_ms, duty.share)
+        for name, duty in bounds.duties.items()
     )
-    terms = Terms.of(bounds.lease_ms, bounds.drift, bounds.lease_ms / 4.0)
+    terms = Terms.of(bounds.lease_ms, bounds.drift, bounds.lease_ms / READS_PER_LEASE)
     return FleetConfig(
-        bounds.voters, works, terms, pace, bounds.reply_ms, bounds.even_ms, bounds.watch_ms, bounds.together
+        voters=bounds.voters,
+        schedules=schedules,
+        lease_terms=terms,
+        membership_timing=timing,
+        register_reply_ms=bounds.reply_ms,
+        rebalance_ms=bounds.even_ms,
+        view_interval_ms=bounds.watch_ms,
+        max_concurrent_steps=bounds.together,
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class PeerMessage:
+    """A message of another member, or of the local voter, has arrived."""
+
     sender: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Did:
+class EffectFinished:
+    """The receiver of an effect has answered, or has not answered in time."""
+
     effect: Effect
     taken: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Feel:
-    fit: bool
+class EligibilityChanged:
+    """This backend has become able, or unable, to own duties."""
+
+    eligible: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Depart:
-    pass
+class DrainStarted:
+    """This backend has been told to leave."""
 
 
-Letter = Heard | Did | Feel | Depart
+ActorMessage = PeerMessage | EffectFinished | EligibilityChanged | DrainStarted
 
 
 class VoterActor:
-    """Owns the voter and its file. Disk work goes to a thread and holds this actor alone, never the loop;
-    what comes meanwhile goes together under the next flush."""
+    """Owns the voter and its file.
 
-    def __init__(self, bounds: Bounds, name: str, start: str, send: Callable[[str, Message], None]) -> None:
+    Disk writes run in a thread and block this actor alone, never the event loop; requests that arrive
+    during a write are answered together after the next one."""
+
+    def __init__(
+        self, bounds: Bounds, name: str, start_id: str, send: Callable[[str, Message], None]
+    ) -> None:
         self.send = send
-        self.mailbox: Mailbox[tuple[str, VoterLetter]] = Mailbox(MAILBOX)
+        self.mailbox: Mailbox[tuple[str, VoterMessage]] = Mailbox(MAILBOX_MESSAGES)
         self.disk = Disk(bounds.folder, bounds.name, name)
         memory = None
         try:
@@ -107,237 +129,269 @@
                 )
         except TornError as error:
             logger.error("this voter's memory {}: it abstains until all others have told it theirs", error)
-        self.voter = Voter(name, bounds.voters, memory, self._keep, bounds.name, bounds.trust_disk, start)
-        self.full = False
+        self.voter = Voter(
+            name, bounds.voters, memory, self._persist, bounds.name, bounds.trust_disk, start_id
+        )
+        self.is_disk_failing = False
 
-    def _keep(self, memory: Memory) -> bool:
+    def _persist(self, memory: Memory) -> bool:
         raw = encode(memory)
-        kept: bool = get_hub().threadpool.apply(self.disk.write, (raw,))
-        if kept is self.full:
-            self.full = not kept
+        is_written: bool = get_hub().threadpool.apply(self.disk.write, (raw,))
+        if is_written is self.is_disk_failing:
+            self.is_disk_failing = not is_written
             logger.log(
-                "INFO" if kept else "ERROR",
+                "INFO" if is_written else "ERROR",
                 "this voter's disk {}",
-                "takes writes again" if kept else "refuses a write: it says nothing until it does",
+                "takes writes again" if is_written else "refuses a write: it says nothing until it does",
             )
-        return kept
+        return is_written
 
-    def put(self, sender: str, message: VoterLetter) -> None:
-        if len(self.mailbox) < MAILBOX:  # else dropped, as the link would
+    def put(self, sender: str, message: VoterMessage) -> None:
+        """Queues a message; drops it if the mailbox is full, as a link drops messages too."""
+        if len(self.mailbox) < MAILBOX_MESSAGES:
             self.mailbox.post((sender, message))
 
     def run(self) -> None:
-        due = 0.0
+        """Answers messages, and asks the other voters for their memory while this one must relearn its
+        own."""
+        rejoin_due = 0.0
         while True:
-            asked = self.voter.rejoin()
-            if asked is not None and mono_ms() >= due:
-                due = mono_ms() + REJOIN_MS
+            rejoin = self.voter.rejoin()
+            if rejoin is not None and monotonic_ms() >= rejoin_due:
+                rejoin_due = monotonic_ms() + REJOIN_INTERVAL_MS
                 for other in self.voter.others:
-                    self.send(other, asked)
-            self._turn(self.mailbox.take(None if asked is None else max(1.0, due - mono_ms())))
+                    self.send(other, rejoin)
+            wait_ms = None if rejoin is None else max(1.0, rejoin_due - monotonic_ms())
+            self._answer(self.mailbox.take(wait_ms))
 
-    def _turn(self, letters: list[tuple[str, VoterLetter]]) -> None:
+    def _answer(self, messages: list[tuple[str, VoterMessage]]) -> None:
         voter = self.voter
-        voted, seated, seat = voter.voting, voter.seated, voter.memory.seat
-        for to, message in replies(voter, letters):
+        was_voting = voter.voting
+        was_seated = voter.seated
+        seat_before = voter.memory.seat
+        for to, message in replies(voter, messages):
             self.send(to, message)
-        if voter.voting and not voted:
+        if voter.voting and not was_voting:
             logger.info("this voter votes again, boot {}", voter.memory.boot)
-        elif seated and not voter.seated:
+        elif was_seated and not voter.seated:
             logger.info("this member votes no longer")
-        elif seat != voter.memory.seat and not voter.seated:
+        elif seat_before != voter.memory.seat and not voter.seated:
             logger.info("this member is enlisted as a voter, with an empty memory")
 
 
 class FleetActor:
-    """Owns this process's member. The module's actor hears nothing of it and waits for nothing in it."""
+    """Owns this process's fleet member. The actor of the core neither receives from it nor waits for it."""
 
     def __init__(self, bounds: Bounds, name: str, seed: int) -> None:
-        self.bounds, self.name = bounds, name
-        self.mailbox: Mailbox[Letter] = Mailbox(MAILBOX)
-        addresses = {one: address(at.at) or ("", 0) for one, at in bounds.members.items()}
-        me = MemberUpdate(
+        self.bounds = bounds
+        self.name = name
+        self.mailbox: Mailbox[ActorMessage] = Mailbox(MAILBOX_MESSAGES)
+        addresses = {one: parse_address(at.at) or ("", 0) for one, at in bounds.members.items()}
+        local = MemberUpdate(
             name, addresses[name], bounds.members[name].zone, int(time.time()), State.ALIVE, False
         )
-        # Unlike any other start of any process, ever: two starts that shared it could look like one owner.
-        start = uuid.uuid4().hex[:16]
-        self.fleet = FleetMember(me, start, addresses, plan_of(bounds), Random(seed).random, mono_ms())
-        self.links = Links(bounds.name, name, addresses, bounds.queue, self.heard, self.asked)
-        # Whoever has a folder may be made a voter while it runs.
-        self.voter = VoterActor(bounds, name, start, self.send) if bounds.folder else None
-        self.receivers = {
-            one: Receiver(address(duty.to) or ("", 0), self.fleet.owner_id)
-            for one, duty in bounds.duties.items()
+        # Unique among all starts of all processes: two starts with the same one could pass for one owner.
+        start_id = uuid.uuid4().hex[:16]
+        self.member = FleetMember(
+            local, start_id, addresses, fleet_config(bounds), Random(seed).random, monotonic_ms()
+        )
+        self.links = PeerLinks(bounds.name, name, addresses, bounds.queue, self.receive, self.answer_operator)
+        # A member with a folder can be made a voter while it runs.
+        self.voter = VoterActor(bounds, name, start_id, self.send) if bounds.folder else None
+        self.step_clients = {
+            duty_name: StepClient(parse_address(duty.to) or ("", 0), self.member.owner_id)
+            for duty_name, duty in bounds.duties.items()
         }
-        self.away_since: float | None = None  # since when the register has not answered
-        self.away_told = False
+        self.register_lost_at: float | None = None  # since when the register has not answered
+        self.has_reported_register_loss = False
 
     def actors(self) -> list[Callable[[], None]]:
+        """The functions to run, each in a greenlet of its own."""
         return [self.run, self.links.run, *([self.voter.run] if self.voter is not None else [])]
 
     # -- for the other actors
 
     def feel(self, board: Board, storm: bool) -> None:
-        """On the module's beat. What is to be told to others is left here; the mailbox hears of a change
-        only."""
-        self.fleet.gauges = Gauges(board.well, board.warmth, board.late, board.value, storm)
-        fit = board.well and board.warmth >= WARM
-        if fit is not self.fleet.membership.local.eligible:
-            self.mailbox.post(Feel(fit))
+        """Called at each sampling tick. Stores the gauges for the monitor; only a change of this backend's
+        eligibility is posted to the mailbox."""
+        self.member.gauges = Gauges(board.well, board.warmth, board.late, board.value, storm)
+        is_eligible = board.well and board.warmth >= MIN_WARMTH
+        if is_eligible is not self.member.membership.local.eligible:
+            self.mailbox.post(EligibilityChanged(is_eligible))
 
     def retune(self, bounds: Bounds) -> None:
-        """Of a file that was read anew, what can hold at once does."""
-        self.bounds = taken_over(self.bounds, bounds)
-        self.fleet.apply_config(plan_of(self.bounds))
+        """Applies those options of a reloaded file that can change in a running process."""
+        self.bounds = apply_reloadable(self.bounds, bounds)
+        self.member.apply_config(fleet_config(self.bounds))
         self.mailbox.wake()
-        left = waiting(self.bounds, bounds)
-        if "voters" in left:
+        unapplied = unapplied_options(self.bounds, bounds)
+        if "voters" in unapplied:
             logger.warning(
                 "[fleet] voters are replaced by `myrtlecrank fleet replace-voters` alone; the "
                 "list is whom a new start asks first"
             )
-            left.remove("voters")
-        if left:
-            logger.warning("[fleet] these take a new start and stay as they were: {}", ", ".join(left))
+            unapplied.remove("voters")
+        if unapplied:
+            logger.warning("[fleet] these take a new start and stay as they were: {}", ", ".join(unapplied))
 
     def depart(self) -> None:
-        self.mailbox.post(Depart())
+        """Starts the drain of this member."""
+        self.mailbox.post(DrainStarted())
 
-    def heard(self, sender: str, message: Message) -> None:
-        """Waits for room, which holds the one link that it came by."""
-        if isinstance(message, VoterLetter) and self.voter is not None:
+    def receive(self, sender: str, message: Message) -> None:
+        """Queues a message of a peer. Waits while the mailbox is full, which blocks that peer's link only."""
+        if isinstance(message, VoterMessage) and self.voter is not None:
             self.voter.put(sender, message)
-        if isinstance(message, Seated) or not isinstance(message, VoterLetter):
-            self.mailbox.put(Heard(sender, message))
+        if isinstance(message, Seated) or not isinstance(message, VoterMessage):
+            self.mailbox.put(PeerMessage(sender, message))
 
     def send(self, to: str, message: Message) -> None:
+        """Sends a message to a member, which may be this one."""
         if to != self.name:
             self.links.send(to, message)
-        elif isinstance(message, VoterLetter):
+        elif isinstance(message, VoterMessage):
             if self.voter is not None:
                 self.voter.put(to, message)
         else:
-            self.mailbox.post(Heard(to, message))
+            self.mailbox.post(PeerMessage(to, message))
 
     # -- this actor
 
     def run(self) -> None:
-        fleet = self.fleet
+        """Handles messages and timers of the member."""
+        member = self.member
         while True:
-            wait = max(0.0, fleet.due() - mono_ms())
-            letters = self.mailbox.take(max(wait, 0.5))
-            now = mono_ms()
-            for letter in letters:
-                match letter:
-                    case Heard(sender, message):
-                        fleet.handle(sender, message, now)
-                    case Did(effect, taken):
-                        fleet.finish_effect(effect, taken, now)
-                    case Feel(fit):
-                        fleet.set_eligible(fit)
-                    case Depart():
-                        fleet.leave(now)
-            fleet.tick(mono_ms())
+            wait_ms = max(0.0, member.due() - monotonic_ms())
+            messages = self.mailbox.take(max(wait_ms, MIN_WAIT_MS))
+            now = monotonic_ms()
+            for one in messages:
+                match one:
+                    case PeerMessage(sender, message):
+                        member.handle(sender, message, now)
+                    case EffectFinished(effect, taken):
+                        member.finish_effect(effect, taken, now)
+                    case EligibilityChanged(eligible):
+                        member.set_eligible(eligible)
+                    case DrainStarted():
+                        member.leave(now)
+            member.tick(monotonic_ms())
             self._carry_out()
 
     def _carry_out(self) -> None:
-        out, self.fleet.outgoing = self.fleet.outgoing, []
-        for to, message in out:
+        """Sends the member's messages, starts its effects and logs its changes."""
+        outgoing, self.member.outgoing = self.member.outgoing, []
+        for to, message in outgoing:
             self.send(to, message)
-        effects, self.fleet.effects = self.fleet.effects, []
+        effects, self.member.effects = self.member.effects, []
         for effect in effects:
-            gevent.spawn(self._effect, effect)
-        for name, state in self.fleet.membership.state_changes:
+            gevent.spawn(self._run_effect, effect)
+        for name, state in self.member.membership.state_changes:
             logger.info("fleet member {} is {}", name, state.name.lower())
-        self.fleet.membership.state_changes.clear()
-        for duty in self.fleet.duties.values():
+        self.member.membership.state_changes.clear()
+        for duty in self.member.duties.values():
             for line in duty.changes:
                 logger.info("fleet duty {}: {}", duty.name, line)
             duty.changes.clear()
-        for line in self.fleet.log_lines:
+        for line in self.member.log_lines:
             logger.info("fleet register: {}", line)
-        self.fleet.log_lines.clear()
-        self._look_at_register()
-
-    def _look_at_register(self) -> None:
-        """Told once it has been away for a lease, by when an owner that cannot renew has stopped."""
-        reached, now = self.fleet.register_reached, mono_ms()
+        self.member.log_lines.clear()
+        self._log_register_state()
+
+    def _log_register_state(self) -> None:
+        """Reports a loss of the register once it has lasted for a lease: by then an owner that cannot renew
+        has stopped."""
+        reached = self.member.register_reached
+        now = monotonic_ms()
         if reached is not False:
-            if self.away_told:
+            if self.has_reported_register_loss:
                 logger.info("the fleet's register answers again")
-            self.away_since, self.away_told = None, False
-        elif self.away_since is None:
-            self.away_since = now
-        elif not self.away_told and now - self.away_since >= self.bounds.lease_ms:
-            self.away_told = True
+            self.register_lost_at = None
+            self.has_reported_register_loss = False
+        elif self.register_lost_at is None:
+            self.register_lost_at = now
+        elif not self.has_reported_register_loss and now - self.register_lost_at >= self.bounds.lease_ms:
+            self.has_reported_register_loss = True
             logger.warning(
                 "the fleet's register does not answer: no majority of its voters is there, "
                 "nothing new is owned"
             )
 
-    def _effect(self, effect: Effect) -> None:
-        duty = self.fleet.duties[effect.duty]
-        taken = self.receivers[effect.duty].offer(
-            effect, lambda: duty.owns(mono_ms()) == effect.epoch, lambda: effect.expires_at - mono_ms()
+    def _run_effect(self, effect: Effect) -> None:
+        duty = self.member.duties[effect.duty]
+        taken = self.step_clients[effect.duty].offer(
+            effect,
+            is_still_owner=lambda: duty.owns(monotonic_ms()) == effect.epoch,
+            remaining_ms=lambda: effect.expires_at - monotonic_ms(),
         )
-        self.mailbox.post(Did(effect, taken))
+        self.mailbox.post(EffectFinished(effect, taken))
 
     # -- operators
 
-    def asked(self, message: Message) -> Message | None:
-        fleet, now = self.fleet, mono_ms()
+    def answer_operator(self, message: Message) -> Message | None:
+        """The report that answers an operator's message."""
         if isinstance(message, StepDown):
-            duty = fleet.duties.get(message.duty)
-            if duty is None:
-                return Report([], f"no duty is named {message.duty[:60]!r}")
-            if duty.owns(now) is None:
-                owner = member_of(duty.lease.owner) or "nobody"
-                return Report([], f"{self.name} does not own {message.duty}; its owner is {owner}")
-            if not fleet.step_down(message.duty):
-                return Report([], "no other member is fit to take it")
-            self.mailbox.wake()
-            return Report([{"duty": message.duty, "given_up_by": self.name}])
+            return self._step_down(message.duty)
         if isinstance(message, ReplaceVoters):
-            return self._reseat(message)
-        if not isinstance(message, Query):
-            return Report([], "not understood")
-        if message.subject == "members":
-            return Report(list(fleet.member_rows(now)))
-        if message.subject == "owners":
-            return Report(list(fleet.owner_rows(now)))
-        if message.subject == "view":
-            rows = list(fleet.view_rows(now))
-            return Report(rows, "" if rows else "the fleet's view is unknown here: none has come of late")
-        if message.subject == "register":
-            return Report(self._register())
-        if message.subject == "voters":
-            return Report(list(fleet.voter_rows()))
-        known = "members, owners, view, voters and register"
-        return Report([], f"{message.subject[:60]!r} is not known; there are {known}")
-
-    def _reseat(self, message: ReplaceVoters) -> Report:
-        """Waits for its end, which holds this one operator's connection; it goes on where the operator
-        hangs up."""
-        ended: AsyncResult[Reseated] = AsyncResult()
-        strange = [one for one in message.add if one not in self.bounds.members]
-        if strange:
+            return self._replace_voters(message)
+        if isinstance(message, Query):
+            return self._answer_query(message.subject)
+        kind = type(message).__name__
+        return Report([], f"expected a query, step-down or replace-voters, found {kind}")
+
+    def _step_down(self, duty_name: str) -> Report:
+        duty = self.member.duties.get(duty_name)
+        if duty is None:
+            return Report([], f"no duty is named {duty_name[:MAX_ECHOED_CHARS]!r}")
+        if duty.owns(monotonic_ms()) is None:
+            owner = member_of(duty.lease.owner) or "nobody"
+            return Report([], f"{self.name} does not own {duty_name}; its owner is {owner}")
+        if not self.member.step_down(duty_name):
+            return Report([], "no other member is eligible to own it")
+        self.mailbox.wake()
+        return Report([{"duty": duty_name, "given_up_by": self.name}])
+
+    def _answer_query(self, subject: str) -> Report:
+        member = self.member
+        now = monotonic_ms()
+        if subject == "members":
+            return Report(list(member.member_rows(now)))
+        if subject == "owners":
+            return Report(list(member.owner_rows(now)))
+        if subject == "view":
+            rows = list(member.view_rows(now))
+            return Report(
+                rows, "" if rows else "the fleet's view is unknown here: no recent one was received"
+            )
+        if subject == "register":
+            return Report(self._register_rows())
+        if subject == "voters":
+            return Report(list(member.voter_rows()))
+        expected = "members, owners, view, voters or register"
+        return Report([], f"expected {expected}, found {subject[:MAX_ECHOED_CHARS]!r}")
+
+    def _replace_voters(self, message: ReplaceVoters) -> Report:
+        """Waits for the result, which blocks this operator's connection only. The change continues even if
+        the operator hangs up."""
+        result_ready: AsyncResult[Reseated] = AsyncResult()
+        unknown = [name for name in message.add if name not in self.bounds.members]
+        if unknown:
             names = ", ".join(sorted(self.bounds.members))
-            return Report([], f"{strange[0][:60]!r} is no member; there are {names}")
-        if not self.fleet.replace_voters(message.drop, message.add, ended.set, mono_ms()):
+            return Report([], f"{unknown[0][:MAX_ECHOED_CHARS]!r} is no member; there are {names}")
+        if not self.member.replace_voters(message.drop, message.add, result_ready.set, monotonic_ms()):
             return Report([], "a change of voters is under way from this member already")
         self.mailbox.wake()
-        how = None
+        result = None
         with contextlib.suppress(gevent.Timeout):
-            how = ended.get(timeout=RESEAT_S)
-        if how is None:
-            return Report([], "it takes long and goes on; `fleet voters` shows how far it is")
-        return Report(list(self.fleet.voter_rows()), how.wrong)
+            result = result_ready.get(timeout=REPLACE_VOTERS_TIMEOUT_S)
+        if result is None:
+            return Report([], "the change takes long and continues; `fleet voters` shows its progress")
+        return Report(list(self.member.voter_rows()), result.wrong)
 
-    def _register(self) -> list[Row]:
+    def _register_rows(self) -> list[Row]:
         voter = self.voter.voter if self.voter is not None else None
         if voter is None or not voter.seated:
-            names = ", ".join(self.fleet.proposer.roster.names)
-            return [{"voter": None, "voters": names, "answers": self.fleet.register_reached}]
+            names = ", ".join(self.member.proposer.roster.names)
+            return [{"voter": None, "voters": names, "answers": self.member.register_reached}]
         state = "votes" if voter.voting else f"abstains, heard {len(voter.heard)} of {len(voter.others)}"
         memory = voter.memory
         return [
@@ -347,6 +401,6 @@
                 "boot": memory.boot,
                 "keys": len(memory.slots),
                 "disk": not voter.failed,
-                "answers": self.fleet.register_reached,
+                "answers": self.member.register_reached,
             }
         ]
--- a/myrtlecrank/fleet/command.py
+++ b/myrtlecrank/fleet/command.py
@@ -1,5 +1,5 @@
-"""`myrtlecrank fleet ...`: what operators ask a running member over its peer link, and how a fleet is
-begun."""
+"""The commands `myrtlecrank fleet ...`: questions and requests of operators to a running member, over its
+peer link, and the founding of a fleet."""
 
 from __future__ import annotations
 
@@ -13,80 +13,86 @@
 from gevent import socket
 
 from myrtlecrank.fleet.messages import VERSION, Hello, Message, Query, ReplaceVoters, Report, Row, StepDown
-from myrtlecrank.fleet.options import Bounds, address
+from myrtlecrank.fleet.options import Bounds, parse_address
 from myrtlecrank.fleet.ownership.lease import opened
-from myrtlecrank.fleet.peer_links import OPERATOR, Reader, RefusedError, packed
+from myrtlecrank.fleet.peer_links import OPERATOR, MessageReader, RefusedError, encode_frame
 from myrtlecrank.fleet.register.disk import Disk, TornError
 from myrtlecrank.fleet.register.messages import Memory
 
-WAIT_S = 3.0
-RESEAT_S = 25.0  # the member gives up its own wait before
+ANSWER_TIMEOUT_S = 3.0
+REPLACE_VOTERS_TIMEOUT_S = 25.0  # above the member's own limit, which ends first and reports the progress
 
 
-def table(rows: list[Row]) -> str:
-    """For people: a line a row, columns as wide as what stands in them."""
+def format_table(rows: list[Row]) -> str:
+    """The rows as text, with columns as wide as their contents."""
     if not rows:
         return "(none)"
     names = list(rows[0])
-    cells = [names, *([_cell(row.get(name)) for name in names] for row in rows)]
-    widths = [max(len(line[i]) for line in cells) for i in range(len(names))]
+    lines = [names, *([_format_cell(row.get(name)) for name in names] for row in rows)]
+    widths = [max(len(line[i]) for line in lines) for i in range(len(names))]
     return "\n".join(
         "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
-        for line in cells
+        for line in lines
     )
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     return "-" if value is None else str(value)
 
 
-def ask(bounds: Bounds, at: str, question: Message) -> Report:
-    """Raises OSError or RefusedError where the member does not answer."""
-    sock = socket.create_connection(address(bounds.members[at].at) or ("", 0), timeout=WAIT_S)
-    if isinstance(question, ReplaceVoters):
-        sock.settimeout(RESEAT_S)
+def ask_member(bounds: Bounds, name: str, message: Message) -> Report:
+    """The report of one member. Raises OSError or RefusedError if it does not answer."""
+    address = parse_address(bounds.members[name].at) or ("", 0)
+    sock = socket.create_connection(address, timeout=ANSWER_TIMEOUT_S)
+    if isinstance(message, ReplaceVoters):
+        sock.settimeout(REPLACE_VOTERS_TIMEOUT_S)
     try:
-        sock.sendall(packed(Hello(VERSION, bounds.name, OPERATOR)) + packed(question))
-        reader = Reader(sock)
-        while (message := reader.next()) is not None:
-            if isinstance(message, Report):
-                return message
+        sock.sendall(encode_frame(Hello(VERSION, bounds.name, OPERATOR)) + encode_frame(message))
+        reader = MessageReader(sock)
+        while (answer := reader.next()) is not None:
+            if isinstance(answer, Report):
+                return answer
     finally:
         sock.close()
-    raise OSError("closed without an answer: is it of this fleet?")
+    raise OSError("the connection was closed without an answer; is it a member of this fleet?")
 
 
-def shown(bounds: Bounds, at: str | None, question: Message, as_json: bool) -> None:
-    """Prints the answer of the member named, else of the first that answers; ends with 1 where none does."""
+def print_report(bounds: Bounds, at: str | None, message: Message, as_json: bool) -> None:
+    """Prints the report of the named member, or of the first that answers. Exits with 1 if none answers or
+    the report is an error."""
     if at is not None and at not in bounds.members:
         _fail(f"{at!r} is no member; there are {', '.join(sorted(bounds.members))}")
-    why = "there are no members"
+    reason = "there are no members"
     for name in [at] if at is not None else sorted(bounds.members):
         try:
-            report = ask(bounds, name, question)
+            report = ask_member(bounds, name, message)
         except (OSError, RefusedError) as error:
-            why = f"{name}: {error}"
+            reason = f"{name}: {error}"
             continue
         if report.error:
             _fail(report.error)
-        click.echo(json.dumps(report.rows) if as_json else table(report.rows))
+        _print_rows(report.rows, as_json)
         return
-    _fail(why)
+    _fail(reason)
 
 
-def _fail(why: str) -> NoReturn:
-    click.echo(f"myrtlecrank: {why}", err=True)
+def _print_rows(rows: list[Row], as_json: bool) -> None:
+    click.echo(json.dumps(rows) if as_json else format_table(rows))
+
+
+def _fail(reason: str) -> NoReturn:
+    click.echo(f"myrtlecrank: {reason}", err=True)
     sys.exit(1)
 
 
-def rows_of(memory: Memory) -> Iterator[Row]:
-    """A line a record: what this voter holds of it."""
-    told: Row = {"voter": memory.voter, "boot": memory.boot, "roster": memory.roster.number}
+def memory_rows(memory: Memory) -> Iterator[Row]:
+    """One row for each record that a voter has stored."""
+    voter: Row = {"voter": memory.voter, "boot": memory.boot, "roster": memory.roster.number}
     for key, slot in sorted(memory.slots.items()):
         row: Row = {
-            **told,
+            **voter,
             "key": key,
             "version": slot.record.version,
             "ballot": slot.accepted.number,
@@ -99,7 +105,7 @@
             lease = opened(slot.record)
             row |= {"owner": lease.owner or None, "epoch": lease.epoch, "step": lease.progress}
         except msgspec.MsgspecError:
-            pass  # no duty's record
+            pass  # the record does not hold a lease
         yield row
 
 
@@ -107,76 +113,81 @@
 
 
 def group(bounds_of: Callable[[str | None], Bounds], operators: Decorator) -> click.Group:
-    """The sub-commands. `bounds_of` reads the operators' file or ends with a line on what is wrong."""
-    at = click.option("--at", metavar="NAME", help="Asks this member; else the first that answers.")
-    as_json = click.option("--json", "as_json", is_flag=True, help="For programs.")
+    """The sub-commands. `bounds_of` reads the operators' file, or exits with a message on what is wrong;
+    `operators` is the option that names the file."""
+    at = click.option("--at", metavar="NAME", help="The member to ask; without it, the first that answers.")
+    as_json = click.option("--json", "as_json", is_flag=True, help="Prints JSON in place of a table.")
 
     @click.group()
     def fleet() -> None:
         """What the members of the fleet know, and who owns which duty."""
 
-    def teller(what: str, doc: str) -> None:
-        @fleet.command(what, help=doc)
+    def add_query(subject: str, help_text: str) -> None:
+        @fleet.command(subject, help=help_text)
         @at
         @as_json
         @operators
-        def told(at: str | None, as_json: bool, operators_file: str | None) -> None:
-            shown(bounds_of(operators_file), at, Query(what), as_json)
+        def query(at: str | None, as_json: bool, operators_file: str | None) -> None:
+            print_report(bounds_of(operators_file), at, Query(subject), as_json)
 
-    teller("members", "Who is there, as one member sees it.")
-    teller("owners", "The duties: owner, epoch, last recorded step.")
-    teller("view", "The members' gauges as the fleet's watcher gathered them.")
-    teller("voters", "Who votes, and whether that is changing.")
-    teller("register", "Whether a voter votes, and whether the register answers.")
+    add_query("members", "The members and their states, as one member sees them.")
+    add_query("owners", "The duties: owner, epoch, last recorded step.")
+    add_query("view", "The members' gauges as gathered by the fleet's monitor.")
+    add_query("voters", "The voters, and whether they are being replaced.")
+    add_query("register", "Whether a voter votes, and whether the register answers.")
 
     @fleet.command("memory")
     @click.argument("name")
     @as_json
     @operators
     def memory(name: str, as_json: bool, operators_file: str | None) -> None:
-        """What voter NAME has on its disk, where its folder is; the process need not run.
+        """The memory of voter NAME on this machine's disk; its process need not run.
 
-        One voter's slots need not be what stands: ask a running member for that."""
+        What one voter has stored is not necessarily the value of the register: ask a running member for
+        that."""
         bounds = bounds_of(operators_file)
         try:
-            kept = Disk(bounds.folder, bounds.name, name).load()
+            stored = Disk(bounds.folder, bounds.name, name).load()
         except TornError as error:
             _fail(f"the memory of voter {name} {error}")
-        if kept is None:
+        if stored is None:
             _fail(f"voter {name} has no memory in {bounds.folder}")
-        rows = list(rows_of(kept))
-        click.echo(json.dumps(rows) if as_json else table(rows))
+        _print_rows(list(memory_rows(stored)), as_json)
 
     @fleet.command("step-down")
     @click.argument("duty")
     @click.option("--at", metavar="NAME", required=True, help="The owner.")
     @operators
     def step_down(duty: str, at: str, operators_file: str | None) -> None:
-        """Has the owner give DUTY to another that is fit."""
-        shown(bounds_of(operators_file), at, StepDown(duty), False)
+        """Makes the owner of DUTY give it to another eligible member."""
+        print_report(bounds_of(operators_file), at, StepDown(duty), False)
 
     @fleet.command("replace-voters")
-    @click.option("--drop", metavar="NAME", multiple=True, help="Votes no longer. May be given again.")
-    @click.option("--add", metavar="NAME", multiple=True, help="Votes from now on, from an empty memory.")
+    @click.option(
+        "--drop", metavar="NAME", multiple=True, help="A voter to remove. Can be given several times."
+    )
+    @click.option(
+        "--add", metavar="NAME", multiple=True, help="A member that becomes a voter, without a memory."
+    )
     @at
     @operators
     def replace_voters(
         drop: tuple[str, ...], add: tuple[str, ...], at: str | None, operators_file: str | None
     ) -> None:
-        """Replaces voters while the fleet runs; afterwards the list in the operators' file is to be changed.
+        """Replaces voters while the fleet runs; change the list in the operators' file afterwards.
 
-        One that is dropped and added at once begins anew, for a voter whose memory is lost. With neither, a
-        change that stands half-way is ended."""
-        shown(bounds_of(operators_file), at, ReplaceVoters(list(drop), list(add)), False)
+        A voter that is both dropped and added starts again without a memory, for one whose memory is lost.
+        With neither option, an incomplete change is completed."""
+        print_report(bounds_of(operators_file), at, ReplaceVoters(list(drop), list(add)), False)
 
     @fleet.command()
     @click.argument("name")
     @operators
     def found(name: str, operators_file: str | None) -> None:
-        """Makes the first, empty memory of voter NAME of a new fleet, in the folder that the file names.
+        """Creates the first, empty memory of voter NAME of a new fleet, in the folder that the file names.
 
-        Once in the life of a fleet and for each voter. Never after a voter lost its memory: start it without,
-        and it learns what it must not forget from the others."""
+        Run it once for each voter in the life of a fleet, and never after a voter has lost its memory:
+        start such a voter without one, and it learns from the others what it must not forget."""
         bounds = bounds_of(operators_file)
         if name not in bounds.voters:
             _fail(f"{name!r} is no voter; there are {', '.join(bounds.voters)}")
--- a/myrtlecrank/fleet/options.py
+++ b/myrtlecrank/fleet/options.py
@@ -1,4 +1,6 @@
-"""The section [fleet] of the operators' file. Imported only where that section stands in the file."""
+"""The section [fleet] of the operators' file. Imported only if the file has that section.
+
+The names of the fields are the keys of the file."""
 
 from __future__ import annotations
 
@@ -6,18 +8,22 @@
 
 from myrtlecrank.operators.sections import figure, table, words
 
+MAX_IPV4_PART = 255
+MAX_PORT = 65535
+REPLY_TIMEOUTS_PER_LEASE = 4.0  # so that a renewal can be retried once within the lease
+
 
 @dataclass(frozen=True, slots=True)
-class MemberAt:
-    """[fleet.members.NAME]: every member of the fleet, by the name that its configuration gives it."""
+class MemberOptions:
+    """[fleet.members.NAME]: one member of the fleet, by the name in its configuration."""
 
     at: str = words("IPv4 address and port where its peers connect", least=1)
     zone: str = words("where it stands; duties are spread over zones")
 
 
 @dataclass(frozen=True, slots=True)
-class DutyOf:
-    """[fleet.duties.NAME]: one piece of fleet work."""
+class DutyOptions:
+    """[fleet.duties.NAME]: one duty, whose steps one member at a time carries out."""
 
     to: str = words("IPv4 address and port that takes its steps", least=1)
     every_ms: float = figure(1000.0, 10.0, 3_600_000.0, "from the end of a step to the next")
@@ -28,6 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """[fleet]: the options of the fleet as a whole."""
+
     on: bool = figure(False, what="members know of each other and share duties")
     name: str = words("of the fleet; peers of another are refused", least=1)
     folder: str = words("where a voter keeps its memory; must outlast the process")
@@ -46,87 +54,118 @@
     watch_ms: float = figure(1000.0, 0.0, 60_000.0, "between two views of the fleet by its watcher; 0: none")
     together: int = figure(8, 1, 1024, "steps of duties that one member has under way at a time")
     queue: int = figure(256, 16, 65_536, "messages that wait for one peer; more are dropped")
-    members: dict[str, MemberAt] = table(MemberAt, "every member, by name")  # noqa: RUF009
-    duties: dict[str, DutyOf] = table(DutyOf, "every duty, by name")  # noqa: RUF009
+    members: dict[str, MemberOptions] = table(MemberOptions, "every member, by name")  # noqa: RUF009
+    duties: dict[str, DutyOptions] = table(DutyOptions, "every duty, by name")  # noqa: RUF009
 
 
-def address(text: str) -> tuple[str, int] | None:
-    """None where it is no IPv4 address with a port."""
+def parse_address(text: str) -> tuple[str, int] | None:
+    """Host and port; None if the text is not an IPv4 address with a port."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
-    good = len(parts) == 4 and all(p.isdecimal() and p.isascii() and int(p) < 256 for p in parts)
-    if not good or not (port.isdecimal() and port.isascii() and 0 < int(port) < 65536):
+    is_host = len(parts) == 4 and all(_is_number(part) and int(part) <= MAX_IPV4_PART for part in parts)
+    if not is_host or not (_is_number(port) and 0 < int(port) <= MAX_PORT):
         return None
     return host, int(port)
 
 
+def _is_number(text: str) -> bool:
+    return text.isdecimal() and text.isascii()
+
+
 def contradictions(bounds: Bounds) -> list[str]:
+    """One line for each mistake in the section that a single option does not show."""
     if not bounds.on:
         return []
+    return [
+        *_fleet_mistakes(bounds),
+        *_member_mistakes(bounds),
+        *_duty_mistakes(bounds),
+        *_timing_mistakes(bounds),
+    ]
+
+
+def _fleet_mistakes(bounds: Bounds) -> list[str]:
     wrong = []
     if not bounds.name:
-        wrong.append("name: a fleet that is on has one")
+        wrong.append("name: is empty; a fleet needs a name")
     if len(bounds.voters) % 2 == 0:
-        wrong.append(f"voters: are {len(bounds.voters)}; an odd number is wanted")
+        wrong.append(f"voters: must be an odd number of members, found {len(bounds.voters)}")
     if len(set(bounds.voters)) < len(bounds.voters):
-        wrong.append("voters: one is named twice")
-    wrong += [f"voters: {one!r} is no member" for one in bounds.voters if one not in bounds.members]
+        wrong.append("voters: must be different members, found one twice")
+    wrong += [f"voters: {name!r} is no member" for name in bounds.voters if name not in bounds.members]
     if bounds.voters and not bounds.folder:
-        wrong.append("folder: voters need one that outlasts them")
+        wrong.append("folder: voters need one that outlasts the process")
+    return wrong
+
+
+def _member_mistakes(bounds: Bounds) -> list[str]:
+    wrong = []
     if not bounds.members:
-        wrong.append("members: there are none")
-    places: dict[str, str] = {}
-    for name, one in bounds.members.items():
-        if address(one.at) is None:
-            wrong.append(f"members.{name} at: {one.at!r} is not an IPv4 address with a port")
-        elif one.at in places:
-            wrong.append(f"members.{name} at: {one.at} is that of {places[one.at]} too")
-        places[one.at] = name
+        wrong.append("members: at least one is needed, found none")
+    name_by_address: dict[str, str] = {}
+    for name, member in bounds.members.items():
+        if parse_address(member.at) is None:
+            wrong.append(f"members.{name} at: {member.at!r} is not an IPv4 address with a port")
+        elif member.at in name_by_address:
+            other = name_by_address[member.at]
+            wrong.append(f"members.{name} at: {member.at} is already the address of {other}")
+        name_by_address[member.at] = name
         if "/" in name:
-            wrong.append(f"members.{name}: a name has no slash")
-    wrong += [f"duties.{name}: a name has no slash" for name in bounds.duties if "/" in name]
+            wrong.append(f"members.{name}: the name must not contain a slash")
+    return wrong
+
+
+def _duty_mistakes(bounds: Bounds) -> list[str]:
+    wrong = [f"duties.{name}: the name must not contain a slash" for name in bounds.duties if "/" in name]
     for name, duty in bounds.duties.items():
-        if address(duty.to) is None:
+        if parse_address(duty.to) is None:
             wrong.append(f"duties.{name} to: {duty.to!r} is not an IPv4 address with a port")
         if duty.deadline_ms > bounds.lease_ms:
             wrong.append(
-                f"duties.{name} deadline_ms: is {duty.deadline_ms:g}, above lease_ms "
-                f"{bounds.lease_ms:g}: no owner could end such a step"
+                f"duties.{name} deadline_ms: must be at most lease_ms, {bounds.lease_ms:g}, found "
+                f"{duty.deadline_ms:g}: no owner could finish such a step"
             )
-    if 4.0 * bounds.reply_ms > bounds.lease_ms:
+    return wrong
+
+
+def _timing_mistakes(bounds: Bounds) -> list[str]:
+    wrong = []
+    if REPLY_TIMEOUTS_PER_LEASE * bounds.reply_ms > bounds.lease_ms:
         wrong.append(
-            f"reply_ms: is {bounds.reply_ms:g}; four of them have to fit into lease_ms "
-            f"{bounds.lease_ms:g}, or a renewal that is repeated once comes too late"
+            f"reply_ms: four times it must fit into lease_ms, {bounds.lease_ms:g}, found "
+            f"{bounds.reply_ms:g}: a renewal that is retried once would come too late"
         )
     if bounds.probe_reply_ms >= bounds.probe_ms:
-        wrong.append(f"probe_reply_ms: is {bounds.probe_reply_ms:g}, not below probe_ms {bounds.probe_ms:g}")
+        wrong.append(
+            f"probe_reply_ms: must be below probe_ms, {bounds.probe_ms:g}, found {bounds.probe_reply_ms:g}"
+        )
     return wrong
 
 
 def placed(bounds: Bounds, name: str) -> str | None:
-    """What is wrong with these bounds for the backend of this name, in one line; None where nothing is."""
+    """One line on why the backend of this name cannot be in this fleet; None if it can."""
     if name in bounds.members:
         return None
     return f"[fleet] members: this backend, {name!r}, is none of them"
 
 
-def taken_over(old: Bounds, new: Bounds) -> Bounds:
-    """What of a new section holds at once in a running process: how duties that it has are worked on,
-    and how many steps go together. All else is as it was until a new start."""
+def apply_reloadable(old: Bounds, new: Bounds) -> Bounds:
+    """The old options with those of the new ones that can change in a running process: the schedules of the
+    duties that it has, the limit on concurrent steps and the rebalancing interval."""
     duties = {
         name: replace(
-            one,
-            every_ms=told.every_ms,
-            deadline_ms=told.deadline_ms,
-            back_off_ms=told.back_off_ms,
-            share=told.share,
+            duty,
+            every_ms=new_duty.every_ms,
+            deadline_ms=new_duty.deadline_ms,
+            back_off_ms=new_duty.back_off_ms,
+            share=new_duty.share,
         )
-        for name, one in old.duties.items()
-        if (told := new.duties.get(name, one))
+        for name, duty in old.duties.items()
+        if (new_duty := new.duties.get(name, duty))
     }
     return replace(old, duties=duties, together=new.together, even_ms=new.even_ms)
 
 
-def waiting(held: Bounds, new: Bounds) -> list[str]:
-    """The figures that take a new start."""
-    return [one.name for one in fields(held) if getattr(held, one.name) != getattr(new, one.name)]
+def unapplied_options(current: Bounds, new: Bounds) -> list[str]:
+    """The names of the options that change only with a restart."""
+    return [one.name for one in fields(current) if getattr(current, one.name) != getattr(new, one.name)]
--- a/myrtlecrank/fleet/peer_links.py
+++ b/myrtlecrank/fleet/peer_links.py
@@ -1,8 +1,9 @@
-"""Links between members: one connection a pair, whole messages both ways, bounds. Knows no meaning.
+"""Links between members: one connection for each pair, which carries whole messages in both directions. All
+queues and sizes are bounded. The contents of messages are not interpreted here.
 
-A message is its length in four bytes and its msgpack. What can't be sent now is dropped and counted: all that
-stands above takes a message that is lost, late or twice. Of a pair the member whose name comes first
-connects."""
+A frame is a length in four bytes, little-endian, and a message in msgpack. A message that cannot be sent
+now is dropped and counted: the protocols on top tolerate lost, late and duplicate messages. Of each pair,
+the member whose name sorts first connects."""
 
 from __future__ import annotations
 
@@ -18,110 +19,139 @@
 
 from myrtlecrank.fleet.messages import VERSION, Hello, Message
 
-LENGTH = struct.Struct("<I")
-LONGEST = 8 * 1024 * 1024  # bytes of one message: a voter's whole memory fits
-CHUNK = 65536
-CONNECT_S, HELLO_S, SEND_S, QUIET_S = 1.0, 3.0, 5.0, 30.0
-AGAIN_S, AGAIN_MOST_S, REFUSED_S = 0.1, 1.0, 10.0
-MOST_STRANGERS = 64  # connections that have not said who they are
-OPERATOR = ""  # the name in the hello of a command line: answered, and never a member
-
-PACK = msgspec.msgpack.Encoder()
-UNPACK: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+LENGTH_PREFIX = struct.Struct("<I")
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # a voter's whole memory fits
+RECEIVE_BYTES = 65536
+LISTEN_BACKLOG = 128
+CONNECT_TIMEOUT_S = 1.0
+HELLO_TIMEOUT_S = 3.0
+SEND_TIMEOUT_S = 5.0
+IDLE_TIMEOUT_S = 30.0
+RECONNECT_MIN_S = 0.1
+RECONNECT_MAX_S = 1.0
+RECONNECT_REFUSED_S = 10.0  # after a refusal, which a quick retry would not change
+MAX_UNIDENTIFIED_CONNECTIONS = 64  # accepted connections whose Hello has not arrived yet
+OPERATOR = ""  # the name in the Hello of a command line; never treated as a member
+MAX_LOGGED_NAME_CHARS = 60
+MAX_LOGGED_ERROR_CHARS = 120
+
+ENCODER = msgspec.msgpack.Encoder()
+DECODER: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 class RefusedError(Exception):
-    """The other end is none to talk to; the text says why in one line."""
+    """The other end is not an acceptable peer; the text says why in one line that starts with a verb."""
 
 
-def packed(message: Message) -> bytes:
-    raw = PACK.encode(message)
-    return LENGTH.pack(len(raw)) + raw
+def encode_frame(message: Message) -> bytes:
+    """The message with its length prefix."""
+    raw = ENCODER.encode(message)
+    return LENGTH_PREFIX.pack(len(raw)) + raw
 
 
-class Reader:
-    """Takes messages off a socket. Holds no more than one message and what came behind it."""
+class MessageReader:
+    """Reads messages from a socket. Buffers at most one message and what was received with its end."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.buffer = sock, bytearray()
+        self.sock = sock
+        self.buffer = bytearray()
 
     def next(self) -> Message | None:
-        """None at the end. Raises RefusedError on what is no message, OSError where the connection breaks."""
+        """The next message; None once the other end has closed the connection.
+
+        Raises RefusedError for a frame that is too long or not a message, OSError if the connection
+        breaks."""
         while True:
-            if len(self.buffer) >= LENGTH.size:
-                (length,) = LENGTH.unpack_from(self.buffer)
-                if length > LONGEST:
-                    # Guards against a length that would fill the memory: nothing of it is read.
-                    raise RefusedError(f"announced a message of {length} bytes; at most {LONGEST} are taken")
-                end = LENGTH.size + length
+            if len(self.buffer) >= LENGTH_PREFIX.size:
+                (length,) = LENGTH_PREFIX.unpack_from(self.buffer)
+                if length > MAX_MESSAGE_BYTES:
+                    # Nothing of it is read: an arbitrary length could exhaust the memory.
+                    raise RefusedError(
+                        f"announced a message of {length} bytes; at most {MAX_MESSAGE_BYTES} are accepted"
+                    )
+                end = LENGTH_PREFIX.size + length
                 if len(self.buffer) >= end:
-                    raw = bytes(self.buffer[LENGTH.size : end])
+                    raw = bytes(self.buffer[LENGTH_PREFIX.size : end])
                     del self.buffer[:end]
                     try:
-                        return UNPACK.decode(raw)
+                        return DECODER.decode(raw)
                     except msgspec.MsgspecError as error:
-                        raise RefusedError(f"sent what is no message: {str(error)[:120]}") from None
-            data = self.sock.recv(CHUNK)
+                        reason = str(error)[:MAX_LOGGED_ERROR_CHARS]
+                        raise RefusedError(f"sent a frame that is not a message: {reason}") from None
+            data = self.sock.recv(RECEIVE_BYTES)
             if not data:
                 return None
             self.buffer += data
 
 
 class Peer:
-    """What waits for one member, and the connection to it while there is one."""
+    """The outgoing queue for one member, and the connection to it while there is one."""
 
-    def __init__(self, name: str, address: tuple[str, int], most: int) -> None:
-        self.name, self.address, self.most = name, address, most
-        self.waiting: deque[bytes] = deque()
+    def __init__(self, name: str, address: tuple[str, int], max_queued: int) -> None:
+        self.name = name
+        self.address = address
+        self.max_queued = max_queued
+        self.queue: deque[bytes] = deque()
         self.wake = Event()
         self.sock: socket.socket | None = None
         self.dropped = 0
-        self.told = ""  # the last reason in the log, so that one that repeats is told once
+        self.logged_error = ""  # the last one in the log, so that a repeated error is logged once
 
     def send(self, message: Message) -> None:
-        if self.sock is None or len(self.waiting) >= self.most:
+        """Queues a message; drops it if there is no connection or the queue is full."""
+        if self.sock is None or len(self.queue) >= self.max_queued:
             self.dropped += 1
             return
-        self.waiting.append(packed(message))
+        self.queue.append(encode_frame(message))
         self.wake.set()
 
     def close(self) -> None:
+        """Closes the connection and discards the queue."""
         sock, self.sock = self.sock, None
-        self.waiting.clear()
+        self.queue.clear()
         self.wake.set()
         if sock is not None:
             sock.close()
 
 
-class Links:
-    """All links of one member. `heard` gets each message with its sender and may wait, which then holds that
-    one link only; `asked` answers an operator."""
+class PeerLinks:
+    """All links of one member.
+
+    `on_message` is called with each message and its sender. It may block, which stops the reader of that
+    link only. `answer_operator` returns the answer to a message of an operator."""
 
     def __init__(
         self,
         fleet: str,
         name: str,
         addresses: dict[str, tuple[str, int]],
-        most: int,
-        heard: Callable[[str, Message], None],
-        asked: Callable[[Message], Message | None],
+        max_queued: int,
+        on_message: Callable[[str, Message], None],
+        answer_operator: Callable[[Message], Message | None],
     ) -> None:
-        self.fleet, self.name, self.heard, self.asked = fleet, name, heard, asked
-        self.hello = packed(Hello(VERSION, fleet, name))
-        self.peers = {one: Peer(one, address, most) for one, address in addresses.items() if one != name}
+        self.fleet = fleet
+        self.name = name
+        self.on_message = on_message
+        self.answer_operator = answer_operator
+        self.hello = encode_frame(Hello(VERSION, fleet, name))
+        self.peers = {
+            peer: Peer(peer, address, max_queued) for peer, address in addresses.items() if peer != name
+        }
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(addresses[name])
-        self.listener.listen(128)
-        self.strangers = 0
-        self.ended = False
+        self.listener.listen(LISTEN_BACKLOG)
+        self.unidentified_connections = 0
+        self.is_closed = False
 
     def send(self, to: str, message: Message) -> None:
+        """Queues a message for a member; drops one for an unknown member."""
         peer = self.peers.get(to)
         if peer is not None:
             peer.send(message)
 
     def run(self) -> None:
+        """Connects to the members whose names sort after this one, and accepts connections until close()."""
         for peer in self.peers.values():
             if self.name < peer.name:
                 gevent.spawn(self._connect, peer)
@@ -129,55 +159,56 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError:
-                if self.ended:
+                if self.is_closed:
                     return
-                gevent.sleep(AGAIN_S)
+                gevent.sleep(RECONNECT_MIN_S)
                 continue
-            if self.strangers >= MOST_STRANGERS:
+            if self.unidentified_connections >= MAX_UNIDENTIFIED_CONNECTIONS:
                 sock.close()
                 continue
-            gevent.spawn(self._accepted, sock)
+            gevent.spawn(self._handle_accepted, sock)
 
     def close(self) -> None:
-        self.ended = True
+        """Closes the listener and all connections."""
+        self.is_closed = True
         self.listener.close()
         for peer in self.peers.values():
             peer.close()
 
     def _connect(self, peer: Peer) -> None:
-        wait = AGAIN_S
-        while not self.ended:
+        delay_s = RECONNECT_MIN_S
+        while not self.is_closed:
             try:
-                sock = socket.create_connection(peer.address, timeout=CONNECT_S)
+                sock = socket.create_connection(peer.address, timeout=CONNECT_TIMEOUT_S)
                 sock.sendall(self.hello)
-                reader = Reader(sock)
-                self._greeted(reader, sock, peer.name)
-                wait = AGAIN_S
+                reader = MessageReader(sock)
+                self._read_hello(reader, sock, peer.name)
+                delay_s = RECONNECT_MIN_S
                 self._serve(peer, sock, reader)
             except RefusedError as error:
-                self._tell(peer, str(error))
-                wait = REFUSED_S
+                self._log_error(peer, str(error))
+                delay_s = RECONNECT_REFUSED_S
             except (OSError, gevent.Timeout):
-                wait = min(AGAIN_MOST_S, wait * 2.0)
+                delay_s = min(RECONNECT_MAX_S, delay_s * 2.0)
             peer.close()
-            gevent.sleep(wait)
+            gevent.sleep(delay_s)
 
-    def _accepted(self, sock: socket.socket) -> None:
-        self.strangers += 1
-        reader = Reader(sock)
+    def _handle_accepted(self, sock: socket.socket) -> None:
+        self.unidentified_connections += 1
+        reader = MessageReader(sock)
         peer = None
         try:
             try:
-                name = self._greeted(reader, sock, None)
+                name = self._read_hello(reader, sock, None)
             finally:
-                self.strangers -= 1
+                self.unidentified_connections -= 1
             sock.sendall(self.hello)
             if name == OPERATOR:
-                self._operator(reader, sock)
+                self._serve_operator(reader, sock)
                 return
             peer = self.peers[name]
             if peer.sock is not None:
-                peer.close()  # it has come anew, so the old connection leads nowhere
+                peer.close()  # the peer has reconnected, so the old connection is dead
             self._serve(peer, sock, reader)
         except RefusedError as error:
             logger.warning("a fleet link is refused: it {}", error)
@@ -188,66 +219,72 @@
                 peer.close()
             sock.close()
 
-    def _greeted(self, reader: Reader, sock: socket.socket, wanted: str | None) -> str:
-        sock.settimeout(HELLO_S)
+    def _read_hello(self, reader: MessageReader, sock: socket.socket, expected: str | None) -> str:
+        """The name in the other end's Hello. `expected` is the only name accepted; None: any other member's
+        name, or an operator."""
+        sock.settimeout(HELLO_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         hello = reader.next()
         if hello is None:
-            raise OSError("closed")
+            raise OSError("connection closed before the Hello")
         if not isinstance(hello, Hello):
-            raise RefusedError("spoke before it said who it is")
+            raise RefusedError("sent another message before its Hello")
         if hello.version != VERSION:
             raise RefusedError(f"speaks version {hello.version}; this is {VERSION}")
         if hello.fleet != self.fleet:
-            raise RefusedError(f"is of the fleet {hello.fleet[:60]!r}; this is {self.fleet!r}")
-        if wanted is not None and hello.name != wanted:
-            raise RefusedError(f"is {hello.name[:60]!r} where {wanted!r} should be")
-        if wanted is None and hello.name != OPERATOR and hello.name not in self.peers:
-            raise RefusedError(f"says that it is {hello.name[:60]!r}, which is no other member")
+            raise RefusedError(
+                f"is of the fleet {hello.fleet[:MAX_LOGGED_NAME_CHARS]!r}; this is {self.fleet!r}"
+            )
+        name = hello.name[:MAX_LOGGED_NAME_CHARS]
+        if expected is not None and hello.name != expected:
+            raise RefusedError(f"is {name!r} where {expected!r} should be")
+        if expected is None and hello.name != OPERATOR and hello.name not in self.peers:
+            raise RefusedError(f"says that it is {name!r}, which is no other member")
         return hello.name
 
-    def _serve(self, peer: Peer, sock: socket.socket, reader: Reader) -> None:
-        """Until the connection ends. Members probe each other all the time, so a link that is quiet for long
-        is dead."""
+    def _serve(self, peer: Peer, sock: socket.socket, reader: MessageReader) -> None:
+        """Passes messages on until the connection ends. Members probe each other continuously, so a link
+        that is silent for long is dead."""
         peer.sock = sock
-        peer.waiting.clear()
-        if peer.told:
-            peer.told = ""
+        peer.queue.clear()
+        if peer.logged_error:
+            peer.logged_error = ""
             logger.info("fleet link to {} is back", peer.name)
-        sock.settimeout(QUIET_S)
+        sock.settimeout(IDLE_TIMEOUT_S)
         writer = gevent.spawn(self._write, peer, sock)
         try:
             while (message := reader.next()) is not None:
-                self.heard(peer.name, message)
+                self.on_message(peer.name, message)
         except RefusedError as error:
-            self._tell(peer, str(error))
+            self._log_error(peer, str(error))
         finally:
             writer.kill(block=False)
 
     def _write(self, peer: Peer, sock: socket.socket) -> None:
-        """What waits goes in one write. A peer that takes nothing for long loses its connection."""
+        """Sends all queued messages in one write. A peer that does not take it in time loses its
+        connection."""
         while peer.sock is sock:
-            if not peer.waiting:
+            if not peer.queue:
                 peer.wake.clear()
                 peer.wake.wait()
                 continue
-            batch = b"".join(peer.waiting)
-            peer.waiting.clear()
+            batch = b"".join(peer.queue)
+            peer.queue.clear()
             try:
-                with gevent.Timeout(SEND_S):
+                with gevent.Timeout(SEND_TIMEOUT_S):
                     sock.sendall(batch)
             except (OSError, gevent.Timeout):
                 if peer.sock is sock:
                     peer.close()
                 return
 
-    def _operator(self, reader: Reader, sock: socket.socket) -> None:
+    def _serve_operator(self, reader: MessageReader, sock: socket.socket) -> None:
         while (message := reader.next()) is not None:
-            answer = self.asked(message)
+            answer = self.answer_operator(message)
             if answer is not None:
-                sock.sendall(packed(answer))
+                sock.sendall(encode_frame(answer))
 
-    def _tell(self, peer: Peer, why: str) -> None:
-        if peer.told != why:
-            peer.told = why
-            logger.warning("fleet link to {}: it {}", peer.name, why)
+    def _log_error(self, peer: Peer, error: str) -> None:
+        if peer.logged_error != error:
+            peer.logged_error = error
+            logger.warning("fleet link to {}: it {}", peer.name, error)
--- a/myrtlecrank/fleet/step_client.py
+++ b/myrtlecrank/fleet/step_client.py
@@ -1,4 +1,5 @@
-"""Carries the steps of duties to whom they are for: a line of JSON each way, one connection a duty."""
+"""The client that offers the steps of duties to their receivers: one line of JSON in each direction, over one
+connection for each duty."""
 
 from __future__ import annotations
 
@@ -10,20 +11,26 @@
 
 from myrtlecrank.fleet.step_scheduler import Effect
 
-LONGEST = 4096  # bytes of an answer
+MAX_ANSWER_BYTES = 4096
 
 
-class Receiver:
+class StepClient:
+    """The connection to the receiver of one duty's steps."""
+
     def __init__(self, address: tuple[str, int], owner: str) -> None:
-        self.address, self.owner = address, owner
+        self.address = address
+        self.owner = owner
         self.sock: socket.socket | None = None
 
-    def offer(self, effect: Effect, still: Callable[[], bool], left: Callable[[], float]) -> bool:
-        """True where the receiver says that the step is done, now or before. `still` is asked right before
-        the bytes leave: whoever was stopped on the way here must see it; `left` is the time to the step's
-        end, in ms."""
+    def offer(
+        self, effect: Effect, is_still_owner: Callable[[], bool], remaining_ms: Callable[[], float]
+    ) -> bool:
+        """Offers a step; True if the receiver answers that the step is done, now or earlier.
+
+        `is_still_owner` is called right before the bytes are sent, so that a process that was stopped until
+        then notices that its lease has expired. `remaining_ms` is the time until the step expires."""
         try:
-            with gevent.Timeout(max(0.0, left()) / 1000.0, TimeoutError):
+            with gevent.Timeout(max(0.0, remaining_ms()) / 1000.0, TimeoutError):
                 if self.sock is None:
                     self.sock = socket.create_connection(self.address)
                     self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -33,23 +40,24 @@
                     )
                     + b"\n"
                 )
-                if not still():
+                if not is_still_owner():
                     return False
                 self.sock.sendall(line)
-                answer = b""
-                while not answer.endswith(b"\n"):
-                    data = self.sock.recv(LONGEST)
-                    if not data or len(answer) > LONGEST:
-                        raise OSError("no answer")
-                    answer += data
-                told = orjson.loads(answer)
-                return isinstance(told, dict) and told.get("taken") is True
+                raw = b""
+                while not raw.endswith(b"\n"):
+                    data = self.sock.recv(MAX_ANSWER_BYTES)
+                    if not data or len(raw) > MAX_ANSWER_BYTES:
+                        raise OSError(f"expected a line of at most {MAX_ANSWER_BYTES} bytes")
+                    raw += data
+                answer = orjson.loads(raw)
+                return isinstance(answer, dict) and answer.get("taken") is True
         except (OSError, ValueError):
-            # An answer that is still on its way must not pass for the next step's.
+            # The connection is closed, so that an answer still on its way is not read as the next step's.
             self.close()
             return False
 
     def close(self) -> None:
+        """Closes the connection; the next step opens a new one."""
         sock, self.sock = self.sock, None
         if sock is not None:
             sock.close()
--- a/rig/processes/stepped_clock.py
+++ b/rig/processes/stepped_clock.py
@@ -29,7 +29,7 @@
     from myrtlecrank.fleet import actor
 
     if planted:
-        actor.mono_ms = lambda: time.time() * 1000.0
+        actor.monotonic_ms = lambda: time.time() * 1000.0
     cli.main(sys.argv[3 if planted else 2 :], prog_name="myrtlecrank")
 
 
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -11,7 +11,7 @@
 from myrtlecrank.fleet.member import FleetConfig, FleetMember
 from myrtlecrank.fleet.membership.messages import MemberUpdate, State
 from myrtlecrank.fleet.membership.swim import MembershipTiming
-from myrtlecrank.fleet.options import Bounds, DutyOf, taken_over, waiting
+from myrtlecrank.fleet.options import Bounds, DutyOptions, apply_reloadable, unapplied_options
 from myrtlecrank.fleet.ownership.lease import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
 from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
@@ -370,7 +370,7 @@
         name="f",
         voters=("a", "b", "c"),
         lease_ms=2000.0,
-        duties={"d": DutyOf(to="127.0.0.1:1"), "gone": DutyOf(to="127.0.0.1:2")},
+        duties={"d": DutyOptions(to="127.0.0.1:1"), "gone": DutyOptions(to="127.0.0.1:2")},
     )
     new = Bounds(
         name="f",
@@ -378,13 +378,13 @@
         lease_ms=900.0,
         together=2,
         even_ms=500.0,
-        duties={"d": DutyOf(to="127.0.0.1:9", every_ms=50.0, share=0.5), "new": DutyOf()},
+        duties={"d": DutyOptions(to="127.0.0.1:9", every_ms=50.0, share=0.5), "new": DutyOptions()},
     )
-    held = taken_over(old, new)
+    held = apply_reloadable(old, new)
     assert (held.together, held.even_ms, held.lease_ms) == (2, 500.0, 2000.0)
-    changed = DutyOf(to="127.0.0.1:1", every_ms=50.0, share=0.5)
+    changed = DutyOptions(to="127.0.0.1:1", every_ms=50.0, share=0.5)
     assert held.duties == {"d": changed, "gone": old.duties["gone"]}
-    assert waiting(held, new) == ["voters", "lease_ms", "duties"]
+    assert unapplied_options(held, new) == ["voters", "lease_ms", "duties"]
 
 
 def test_steps_go_on_under_figures_that_were_taken_over() -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,7 +13,7 @@
 from gevent import socket
 
 from myrtlecrank.fleet.messages import VERSION, Hello
-from myrtlecrank.fleet.peer_links import packed
+from myrtlecrank.fleet.peer_links import encode_frame
 from rig.processes.ownership_experiment import RealPlay
 
 
@@ -194,8 +194,10 @@
     home, name = fleet.homes["n0"], "n1"
     peak = rss_kb(fleet, "n0")
     for told in (Hello(VERSION, "rig", "n0"), Hello(VERSION, "other", name), Hello(1, "rig", name)):
-        assert refused(home, packed(told))
-    assert refused(home, packed(Hello(VERSION, "rig", "")) + (1 << 30).to_bytes(4, "little") + b"x" * 4096)
+        assert refused(home, encode_frame(told))
+    assert refused(
+        home, encode_frame(Hello(VERSION, "rig", "")) + (1 << 30).to_bytes(4, "little") + b"x" * 4096
+    )
     log = (fleet.folder / "n0.log").read_text()
     for line in ("says that it is 'n0'", "of the fleet 'other'", "speaks version 1", "announced a message"):
         assert log.count(line) == 1, line
