--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,5 @@
-"""Several real processes of the program, faults between them, judged by the resource alone."""
+"""Several real processes of the program with faults injected between them; the resource that takes their
+steps is the only judge of the result."""
 
 from __future__ import annotations
 
@@ -17,8 +18,8 @@
 from rig.processes.ownership_experiment import RealPlay
 
 
-def played(play: RealPlay) -> Iterator[RealPlay]:
-    """Each duty owned, each voter votes."""
+def started(play: RealPlay) -> Iterator[RealPlay]:
+    """Yields the processes once each duty is owned and each voter votes."""
     try:
         play.begin()
         yield play
@@ -29,99 +30,101 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[RealPlay]:
     """Three members that all vote, two duties."""
-    yield from played(RealPlay(1, 3, 3, 2, True, tmp_path))
+    yield from started(RealPlay(1, 3, 3, 2, True, tmp_path))
 
 
 @pytest.fixture
 def four(tmp_path: Path) -> Iterator[RealPlay]:
     """Four members of which three vote, two duties."""
-    yield from played(RealPlay(2, 4, 3, 2, True, tmp_path))
+    yield from started(RealPlay(2, 4, 3, 2, True, tmp_path))
 
 
-def steps(play: RealPlay) -> int:
+def steps_taken(play: RealPlay) -> int:
     return sum(play.stands.resource.last.values())
 
 
-def goes_on(play: RealPlay, more: int = 10) -> None:
-    """Both duties advance."""
+def wait_for_steps(play: RealPlay, more: int = 10) -> None:
+    """Waits until every duty has advanced by this many steps."""
     last = dict(play.stands.resource.last)
     play.wait(lambda: all(play.stands.resource.last[duty] >= last[duty] + more for duty in play.duties))
 
 
-def kept(play: RealPlay) -> None:
-    """What holds in any case, as the resource saw it."""
+def assert_safety(play: RealPlay) -> None:
+    """The safety properties, as the resource observed them."""
     resource = play.stands.resource
     assert resource.owners_at_once() == 1
     assert (resource.late_taken, resource.steps_lost(), resource.steps_twice) == (0, 0, 0)
 
 
-def test_an_owner_that_is_stopped_past_its_lease_does_no_harm_when_it_wakes(fleet: RealPlay) -> None:
+def test_an_owner_that_is_stopped_past_its_lease_is_safe_when_it_continues(fleet: RealPlay) -> None:
     old = fleet.owner("duty-0")
     fleet.backends[old].signal(signal.SIGSTOP)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    goes_on(fleet)
+    wait_for_steps(fleet)
     fleet.backends[old].signal(signal.SIGCONT)
-    goes_on(fleet, 20)
-    kept(fleet)
+    wait_for_steps(fleet, 20)
+    assert_safety(fleet)
 
 
-def test_an_owner_that_is_cut_off_from_the_others_stops_and_another_goes_on(fleet: RealPlay) -> None:
-    """It still reaches the resource: only its own clock can stop it."""
+def test_an_owner_that_is_cut_off_from_the_others_stops_and_another_takes_over(fleet: RealPlay) -> None:
+    """It still reaches the resource, so only its own clock can stop it."""
     old = fleet.owner("duty-0")
     for link, _ in fleet.links_of(old):
         link.freeze(4.0)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    goes_on(fleet, 20)
-    kept(fleet)
+    wait_for_steps(fleet, 20)
+    assert_safety(fleet)
 
 
-def test_all_restart_at_once_and_go_on_behind_the_last_recorded_step(fleet: RealPlay) -> None:
+def test_after_a_restart_of_all_members_duties_continue_behind_the_last_step(
+    fleet: RealPlay,
+) -> None:
     before = dict(fleet.stands.resource.last)
     for backend in fleet.backends.values():
         backend.end()
     for backend in fleet.backends.values():
         backend.start()
-    goes_on(fleet)
+    wait_for_steps(fleet)
     assert all(fleet.stands.resource.last[duty] > before[duty] for duty in fleet.duties)
-    kept(fleet)
+    assert_safety(fleet)
 
 
-def test_a_voter_without_its_disk_learns_from_the_others_and_votes_again(fleet: RealPlay) -> None:
-    (gone, alone) = ("n1", "n2")
-    fleet.backends[gone].end()
-    (fleet.folder / f"voter-{gone}.state").unlink()
-    fleet.backends[gone].start()
-    fleet.wait(lambda: (fleet.folder / f"voter-{gone}.state").exists())
-    fleet.backends[alone].end()  # now its vote is needed
-    goes_on(fleet)
-    kept(fleet)
+def test_a_voter_that_lost_its_disk_learns_from_the_others_and_votes_again(fleet: RealPlay) -> None:
+    (restarted, stopped) = ("n1", "n2")
+    fleet.backends[restarted].end()
+    (fleet.folder / f"voter-{restarted}.state").unlink()
+    fleet.backends[restarted].start()
+    fleet.wait(lambda: (fleet.folder / f"voter-{restarted}.state").exists())
+    fleet.backends[stopped].end()  # from now on the vote of the restarted one is needed
+    wait_for_steps(fleet)
+    assert_safety(fleet)
 
 
-def test_two_voters_away_stop_all_duties_and_one_back_starts_them(fleet: RealPlay) -> None:
+def test_without_a_majority_all_duties_stop_until_it_is_back(fleet: RealPlay) -> None:
     for name in ("n1", "n2"):
         fleet.backends[name].end()
     gevent.sleep(1.3)  # the lease
-    before = steps(fleet)
+    before = steps_taken(fleet)
     gevent.sleep(1.0)
-    assert steps(fleet) == before, "what can't be promised is not done"
+    assert steps_taken(fleet) == before, "no step is taken without a lease"
     fleet.backends["n1"].start()
-    # It was only away, yet its disk is not trusted here: it waits for the other one too.
+    # n1 still has its disk, which is not trusted here: it waits for the other voter too.
     fleet.backends["n2"].start()
-    goes_on(fleet)
-    kept(fleet)
+    wait_for_steps(fleet)
+    assert_safety(fleet)
 
 
-def test_a_notice_to_leave_hands_over_without_waiting_for_the_lease(fleet: RealPlay) -> None:
+def test_a_drain_hands_duties_over_without_waiting_for_the_lease(fleet: RealPlay) -> None:
     old = fleet.owner("duty-0")
     fleet.backends[old].signal(signal.SIGTERM)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    mine = [t for t in fleet.stands.resource.taken if t.duty == "duty-0"]
-    gap = next(b.at - a.at for a, b in pairwise(mine) if a.owner != b.owner and a.owner.startswith(old))
+    taken = [t for t in fleet.stands.resource.taken if t.duty == "duty-0"]
+    gap = next(b.at - a.at for a, b in pairwise(taken) if a.owner != b.owner and a.owner.startswith(old))
     assert gap < 800.0, "under the lease of 1000 ms"
-    kept(fleet)
+    assert_safety(fleet)
 
 
-def test_operators_see_the_fleet_and_move_a_duty(fleet: RealPlay) -> None:
+def test_operators_query_the_fleet_and_move_a_duty(fleet: RealPlay) -> None:
     rows = json.loads(fleet.told("members", "--json", "--at", "n0").stdout)
     assert [row["member"] for row in rows] == ["n0", "n1", "n2"]
     assert "votes" in fleet.told("register", "--at", "n0").stdout
@@ -131,84 +134,86 @@
     assert refused.returncode == 1 and "does not own" in refused.stderr
     assert fleet.told("step-down", "duty-0", "--at", old).returncode == 0
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    kept(fleet)
+    assert_safety(fleet)
 
 
-def test_a_voter_that_is_gone_for_good_is_replaced_while_the_duties_go_on(four: RealPlay) -> None:
-    """n2 dies with its disk. n3 votes in its place, and with n1 away too its vote is what counts."""
+def test_a_lost_voter_is_replaced_while_the_duties_continue(four: RealPlay) -> None:
+    """n2 is lost with its disk and replaced by n3. With n1 stopped too, a majority needs the vote of n3."""
     four.backends["n2"].end()
     (four.folder / "voter-n2.state").unlink()
     refused = four.told("replace-voters", "--add", "n3", "--at", "n0")
     assert refused.returncode == 1 and "an odd number is wanted" in refused.stderr
-    begun = len(four.stands.resource.taken)
+    before = len(four.stands.resource.taken)
     done = four.told("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
     assert done.returncode == 0, done.stderr
     rows = json.loads(four.told("voters", "--json", "--at", "n1").stdout)
     assert [row["voter"] for row in rows] == ["n0", "n1", "n3"]
-    assert len(four.stands.resource.taken) > begun, "steps went on meanwhile"
-    goes_on(four)
+    assert len(four.stands.resource.taken) > before, "steps continued during the change"
+    wait_for_steps(four)
     four.backends["n1"].end()
-    goes_on(four, 20)
-    rows = json.loads(four.told("memory", "n1", "--json").stdout)  # of one that does not run
+    wait_for_steps(four, 20)
+    rows = json.loads(four.told("memory", "n1", "--json").stdout)  # its process does not run
     assert {row["key"] for row in rows} >= {"duty-0", "duty-1", "fleet/voters"}
-    kept(four)
+    assert_safety(four)
 
 
-def test_a_change_of_voters_whose_driver_dies_is_ended_by_the_others(four: RealPlay) -> None:
-    """n0, which drives, hears the others late: the change stands half-way when it dies and stays dead."""
+def test_a_change_of_voters_is_completed_by_the_others_when_its_driver_dies(four: RealPlay) -> None:
+    """The links of n0, which drives the change, are slow: the change is incomplete when n0 dies, and n0 is
+    not restarted."""
     for link, _ in four.links_of("n0"):
         link.slow(20.0, 0.06)
 
     def change() -> None:
-        """As an operator does: given again where n3 was not heard in time over the slow links."""
-        words = ("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
-        while "takes no seat" in four.told(*words).stderr:
+        """Repeats the command, as an operator would, while n3 does not answer in time over the slow links."""
+        arguments = ("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
+        while "takes no seat" in four.told(*arguments).stderr:
             pass
 
-    waiting = gevent.spawn(change)
+    changing = gevent.spawn(change)
     logs = [four.folder / f"{name}.log" for name in ("n0", "n1", "n2")]
     four.wait(lambda: any("the voters change from" in log.read_text() for log in logs))
     four.backends["n0"].end()
     assert not any("the voters are n0, n1, n3" in log.read_text() for log in logs)
     four.wait(lambda: "the voters are n0, n1, n3" in (four.folder / "n1.log").read_text(), 30.0)
-    waiting.join()
-    goes_on(four, 20)
-    kept(four)
+    changing.join()
+    wait_for_steps(four, 20)
+    assert_safety(four)
 
 
-def test_bytes_that_an_owner_let_go_of_before_its_lease_ran_out_come_too_late(fleet: RealPlay) -> None:
-    """Its step lies on the way to the resource while another takes over: out of reach for its own clock, and
-    kept out by the fence."""
+def test_the_fence_refuses_a_step_that_arrives_after_its_owners_lease(fleet: RealPlay) -> None:
+    """The step was sent in time and is delayed on its way to the resource while another owner takes over.
+    The clock of its owner cannot prevent that; the fence does."""
     old = fleet.owner("duty-0")
     fleet.sinks[old].freeze(3.5, back=False)
-    gevent.sleep(0.2)  # a step is in it now
+    gevent.sleep(0.2)  # a step is on its way now
     fleet.apart({old}, 3.0)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
     fleet.wait(lambda: fleet.stands.resource.late_offered > 0)
-    goes_on(fleet, 20)
-    kept(fleet)
-
-
-def test_strangers_at_a_members_door_cost_it_a_line_each_and_nothing_else(fleet: RealPlay) -> None:
-    """One that says it is another member, one of another fleet, one that announces a message of 1 GB."""
-    home, name = fleet.homes["n0"], "n1"
-    peak = rss_kb(fleet, "n0")
-    for told in (Hello(VERSION, "rig", "n0"), Hello(VERSION, "other", name), Hello(1, "rig", name)):
-        assert refused(home, encode_frame(told))
-    assert refused(
-        home, encode_frame(Hello(VERSION, "rig", "")) + (1 << 30).to_bytes(4, "little") + b"x" * 4096
+    wait_for_steps(fleet, 20)
+    assert_safety(fleet)
+
+
+def test_invalid_connections_cost_a_member_one_log_line_each_and_nothing_else(fleet: RealPlay) -> None:
+    """Connections with the name of the member itself, of another fleet, with another version, and one that
+    announces a message of 1 GB."""
+    address, name = fleet.homes["n0"], "n1"
+    rss_before_kb = rss_kb(fleet, "n0")
+    for hello in (Hello(VERSION, "rig", "n0"), Hello(VERSION, "other", name), Hello(1, "rig", name)):
+        assert is_disconnected(address, encode_frame(hello))
+    assert is_disconnected(
+        address, encode_frame(Hello(VERSION, "rig", "")) + (1 << 30).to_bytes(4, "little") + b"x" * 4096
     )
     log = (fleet.folder / "n0.log").read_text()
     for line in ("says that it is 'n0'", "of the fleet 'other'", "speaks version 1", "announced a message"):
         assert log.count(line) == 1, line
-    assert rss_kb(fleet, "n0") < peak + 4096
-    goes_on(fleet, 20)
-    kept(fleet)
+    assert rss_kb(fleet, "n0") < rss_before_kb + 4096
+    wait_for_steps(fleet, 20)
+    assert_safety(fleet)
 
 
-def refused(home: tuple[str, int], raw: bytes) -> bool:
-    """The connection ends, whatever came of it before."""
-    with gevent.Timeout(10.0), socket.create_connection(home) as sock:
+def is_disconnected(address: tuple[str, int], raw: bytes) -> bool:
+    """Sends the bytes and reads until the member closes the connection."""
+    with gevent.Timeout(10.0), socket.create_connection(address) as sock:
         sock.sendall(raw)
         try:
             while sock.recv(4096):
@@ -224,43 +229,43 @@
     return int(Path(f"/proc/{process.pid}/statm").read_text().split()[1]) * 4
 
 
-# -- what one side of a link, a disk or a clock does
+# -- faults of one side of a link, of a disk or of a clock
 
 
-def test_an_owner_that_none_hears_stops_though_it_hears_all(four: RealPlay) -> None:
+def test_an_owner_whose_messages_are_lost_stops_although_it_receives_all_others(four: RealPlay) -> None:
     old = four.owner("duty-0")
     four.deaf(old, 4.0, hears=True)
     four.wait(lambda: four.owner("duty-0") != old)
-    goes_on(four, 20)
-    kept(four)
+    wait_for_steps(four, 20)
+    assert_safety(four)
 
 
-def test_an_owner_that_is_left_with_half_of_the_members_stops(four: RealPlay) -> None:
-    """Two and two: the owner's side has one of the three voters, and only on the other one is a duty
-    owned."""
+def test_an_owner_on_the_side_without_a_majority_stops(four: RealPlay) -> None:
+    """A partition into two and two members: the owner's side has one of the three voters, so duties are
+    owned on the other side only."""
     old = four.owner("duty-0")
     side = {old, "n3" if old != "n3" else "n0"}
     four.apart(side, 6.0)
     four.wait(lambda: not {four.owner(duty) for duty in four.duties} & side)
-    goes_on(four, 20)
-    kept(four)
+    wait_for_steps(four, 20)
+    assert_safety(four)
 
 
-def test_links_slower_than_a_round_leave_no_owner_and_come_back(fleet: RealPlay) -> None:
-    """Rounds of 200 ms over links that take 1.2 s each way, longer than the lease."""
+def test_links_slower_than_a_lease_leave_no_owner_until_they_recover(fleet: RealPlay) -> None:
+    """Rounds time out after 200 ms; the links take 1.2 s each way, longer than the lease."""
     for link in fleet.links.values():
         link.slow(4.0, 1.2)
     gevent.sleep(1.6)
-    before = steps(fleet)
+    before = steps_taken(fleet)
     gevent.sleep(1.0)
-    assert steps(fleet) == before, "an owner that hears no majority has stopped"
-    goes_on(fleet)
-    kept(fleet)
+    assert steps_taken(fleet) == before, "an owner without a majority has stopped"
+    wait_for_steps(fleet)
+    assert_safety(fleet)
 
 
-def test_two_candidates_in_one_instant_give_one_owner(four: RealPlay) -> None:
-    """All others are stopped as the owner dies, and woken at once when its lease is over: each finds the duty
-    free."""
+def test_candidates_at_the_same_moment_give_one_owner(four: RealPlay) -> None:
+    """All other members are stopped when the owner dies, and continue together after its lease: each finds
+    the duty free."""
     old = four.owner("duty-0")
     others = [one for name, one in four.backends.items() if name != old]
     for one in others:
@@ -270,92 +275,91 @@
     for one in others:
         one.signal(signal.SIGCONT)
     four.wait(lambda: four.owner("duty-0") != old)
-    goes_on(four, 20)
-    kept(four)
+    wait_for_steps(four, 20)
+    assert_safety(four)
 
 
-def test_a_voter_with_an_older_copy_of_its_disk_learns_before_it_votes(fleet: RealPlay) -> None:
+def test_a_voter_with_an_older_copy_of_its_file_learns_before_it_votes(fleet: RealPlay) -> None:
     file = fleet.folder / "voter-n1.state"
     older = file.read_bytes()
-    goes_on(fleet, 20)
+    wait_for_steps(fleet, 20)
     fleet.backends["n1"].end()
     file.write_bytes(older)
     fleet.backends["n1"].start()
     log = fleet.folder / "n1.log"
     fleet.wait(lambda: log.read_text().count("votes again") == 2)
-    fleet.backends["n2"].end()  # now its vote is needed
-    goes_on(fleet, 20)
-    kept(fleet)
+    fleet.backends["n2"].end()  # from now on the vote of n1 is needed
+    wait_for_steps(fleet, 20)
+    assert_safety(fleet)
 
 
-def test_a_voter_whose_disk_takes_nothing_says_nothing_until_it_does(fleet: RealPlay) -> None:
-    """What stands in the way of each write is a folder under the name of the new file."""
+def test_a_voter_whose_disk_refuses_writes_does_not_answer_until_it_accepts_them(fleet: RealPlay) -> None:
+    """Each write fails on a folder with the name of the temporary file."""
     blocked = fleet.folder / "voter-n1.state.new"
     log = fleet.folder / "n1.log"
-    while True:  # the name is free between two writes only
+    while True:  # the name is free only between two writes
         try:
             blocked.mkdir()
             break
         except FileExistsError:
             gevent.sleep(0.001)
     fleet.wait(lambda: "disk refuses a write" in log.read_text())
-    goes_on(fleet)  # the other two are a majority
+    wait_for_steps(fleet)  # the other two are a majority
     other = next(name for name in ("n0", "n2") if name != fleet.owner("duty-0"))
     fleet.backends[other].end()
     gevent.sleep(1.3)
-    before = steps(fleet)
+    before = steps_taken(fleet)
     gevent.sleep(0.8)
-    assert steps(fleet) == before, "one voter of three is none"
+    assert steps_taken(fleet) == before, "one voter of three is no majority"
     blocked.rmdir()
     fleet.wait(lambda: "takes writes again" in log.read_text())
-    goes_on(fleet)
-    kept(fleet)
+    wait_for_steps(fleet)
+    assert_safety(fleet)
 
 
 @pytest.mark.parametrize("seconds", [-3600, 3600])
-def test_a_wall_clock_that_is_stepped_changes_nothing(fleet: RealPlay, seconds: int) -> None:
+def test_a_step_of_the_wall_clock_changes_nothing(fleet: RealPlay, seconds: int) -> None:
     owners = {duty: fleet.owner(duty) for duty in fleet.duties}
     for backend in fleet.backends.values():
         backend.wall.write_text(str(seconds if backend.name == owners["duty-0"] else 0))
-    goes_on(fleet, 20)
+    wait_for_steps(fleet, 20)
     assert {duty: fleet.owner(duty) for duty in fleet.duties} == owners
-    kept(fleet)
+    assert_safety(fleet)
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_an_owner_that_slept_and_whose_wall_clock_slept_too_offers_nothing_late(
-    tmp_path: Path, bug: bool
-) -> None:
-    """With leases on that clock, a planted bug, it goes on as if no time had passed, and only the fence
-    keeps it out: the judge sees it."""
+def test_an_owner_stopped_together_with_its_wall_clock_offers_nothing_late(tmp_path: Path, bug: bool) -> None:
+    """With leases on the wall clock, which is an injected fault, it continues as if no time had passed: the
+    resource detects that, and only its fence refuses the steps."""
     play = RealPlay(3, 3, 3, 1, True, tmp_path)
     for backend in play.backends.values():
         backend.wall_leases = bug
     try:
         play.begin()
-        for _ in range(3):  # stopped within a step, it would not show
+        for _ in range(3):  # an owner that is stopped during a step does not show the fault
             old = play.owner("duty-0")
-            begun = play.stands.now()
+            stopped_at = play.stands.now()
             play.backends[old].signal(signal.SIGSTOP)
             play.wait(lambda old=old: play.owner("duty-0") != old)
-            goes_on(play, 5)
+            wait_for_steps(play, 5)
             file = play.backends[old].wall
-            slept = float(file.read_text() if file.exists() else 0.0) - (play.stands.now() - begun) / 1000.0
-            file.write_text(str(slept))
+            offset_s = float(file.read_text() if file.exists() else 0.0)
+            offset_s -= (play.stands.now() - stopped_at) / 1000.0
+            file.write_text(str(offset_s))
             play.backends[old].signal(signal.SIGCONT)
-            goes_on(play, 5)
+            wait_for_steps(play, 5)
         assert (play.stands.resource.late_offered > 0) is bug
-        kept(play)
+        assert_safety(play)
     finally:
         play.finish()
 
 
-# -- members that come and go while something else is wrong
+# -- members that restart, or lose connections, during another fault
 
 
 def test_a_rolling_deploy_of_all_members_during_a_partition(four: RealPlay) -> None:
-    """n3, which has no vote, is cut off for the whole time; each of the others is told to leave and started
-    anew, one after the other."""
+    """n3, which does not vote, is cut off all the time; the others are drained and restarted one after the
+    other."""
     four.apart({"n3"}, 60.0)
     for name in ("n0", "n1", "n2"):
         votes = (four.folder / f"{name}.log").read_text().count("votes again")
@@ -366,13 +370,13 @@
         four.backends[name].start()
         log = four.folder / f"{name}.log"
         four.wait(lambda log=log, votes=votes: log.read_text().count("votes again") > votes)
-    goes_on(four, 20)
+    wait_for_steps(four, 20)
     assert not {four.owner(duty) for duty in four.duties} & {"n3"}
-    kept(four)
+    assert_safety(four)
 
 
-def test_a_peer_that_flaps_does_not_move_duties_to_and_fro(four: RealPlay) -> None:
-    goes_on(four)
+def test_a_flapping_peer_does_not_move_duties_back_and_forth(four: RealPlay) -> None:
+    wait_for_steps(four)
     changes = owner_changes(four)
     flapping = four.owner("duty-0")
     for _ in range(16):
@@ -380,8 +384,8 @@
             link.cut(0.2)
         gevent.sleep(0.5)
     assert owner_changes(four) - changes <= 8, "under one a second"
-    goes_on(four)
-    kept(four)
+    wait_for_steps(four)
+    assert_safety(four)
 
 
 def owner_changes(play: RealPlay) -> int:
@@ -391,25 +395,25 @@
     )
 
 
-def test_a_handover_to_a_member_that_dies_as_it_accepts_goes_to_another(four: RealPlay) -> None:
+def test_a_duty_whose_new_owner_dies_goes_to_another_member(four: RealPlay) -> None:
     old = four.owner("duty-0")
     assert four.told("step-down", "duty-0", "--at", old).returncode == 0
     four.wait(lambda: four.owner("duty-0") != old)
     heir = four.owner("duty-0")
     four.backends[heir].end()
     four.wait(lambda: four.owner("duty-0") != heir)
-    goes_on(four, 20)
-    kept(four)
+    wait_for_steps(four, 20)
+    assert_safety(four)
 
 
-def test_the_file_read_anew_by_sighup_holds_for_the_steps_at_once(fleet: RealPlay) -> None:
-    """Every member's steps get a tenth of the pace; a list of other voters changes nothing."""
+def test_a_reload_by_sighup_applies_to_the_steps_at_once(fleet: RealPlay) -> None:
+    """The steps of each member slow down to a tenth; a changed list of voters has no effect."""
     for backend in fleet.backends.values():
         text = backend.operators.read_text().replace("every_ms = 100", "every_ms = 1000")
         backend.operators.write_text(text.replace('["n0", "n1", "n2"]', '["n0", "n1", "n1"]'))
         backend.signal(signal.SIGHUP)
-    fleet.wait(lambda: "one is named twice" in (fleet.folder / "n2.log").read_text())
-    goes_on(fleet)  # refused whole: as fast as ever
+    fleet.wait(lambda: "found one twice" in (fleet.folder / "n2.log").read_text())
+    wait_for_steps(fleet)  # nothing of the file is applied: the steps are as fast as before
     for backend in fleet.backends.values():
         text = backend.operators.read_text().replace('"n1", "n1"]', '"n1"]')
         backend.operators.write_text(text.replace('["n0", "n1"]', '["n0"]'))
@@ -420,7 +424,8 @@
         )
     )
     gevent.sleep(0.5)
-    before = steps(fleet)
+    before = steps_taken(fleet)
     gevent.sleep(3.0)
-    assert 0 < steps(fleet) - before <= 8, "two duties, a step a second each; at the old pace it were 50"
-    kept(fleet)
+    taken = steps_taken(fleet) - before
+    assert 0 < taken <= 8, "two duties with one step a second each; about 50 at the old rate"
+    assert_safety(fleet)
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -1,4 +1,5 @@
-"""The experiment fleet-owner on the virtual clock, its judges and what they must find."""
+"""The experiment fleet-owner on the virtual clock: its figures, its checkers, and the injected faults that
+these must detect."""
 
 from __future__ import annotations
 
@@ -10,38 +11,40 @@
 from rig.multi_node.planted_faults import BUGS
 
 
-def test_the_resource_refuses_what_is_late_and_knows_a_step_again() -> None:
+def test_the_resource_refuses_an_old_epoch_and_recognizes_a_repeated_step() -> None:
     resource = Resource()
-    came = [("a", 1, 1), ("b", 2, 1), ("b", 2, 2), ("a", 1, 2), ("b", 2, 4)]
-    said = [
-        resource.offered(float(i), who, Effect("d", epoch, step, 0.0))
-        for i, (who, epoch, step) in enumerate(came)
+    offers = [("a", 1, 1), ("b", 2, 1), ("b", 2, 2), ("a", 1, 2), ("b", 2, 4)]
+    answers = [
+        resource.offered(float(i), owner, Effect("d", epoch, step, 0.0))
+        for i, (owner, epoch, step) in enumerate(offers)
     ]
-    assert said == [True, True, True, False, True]
+    assert answers == [True, True, True, False, True]
     assert (resource.late_offered, resource.late_taken, resource.again_offered) == (1, 0, 1)
     assert resource.steps_lost() == 1 and resource.owners_at_once() == 1
 
 
-def test_owners_whose_effects_cross_count_as_two() -> None:
+def test_owners_whose_effects_interleave_count_as_two() -> None:
     resource = Resource(fence=False)
-    for i, (who, epoch) in enumerate([("a", 1), ("b", 2), ("a", 1), ("b", 2)]):
-        resource.offered(float(i), who, Effect("d", epoch, i + 1, 0.0))
+    for i, (owner, epoch) in enumerate([("a", 1), ("b", 2), ("a", 1), ("b", 2)]):
+        resource.offered(float(i), owner, Effect("d", epoch, i + 1, 0.0))
     assert resource.owners_at_once() == 2 and resource.late_taken == 1
 
 
-FOUND = {"wall-time": 29, "epoch-from-memory": 1, "no-look-on-waking": 2}  # the first seed that shows it
+# The first seed with which each injected fault is detected.
+DETECTING_SEEDS = {"wall-time": 29, "epoch-from-memory": 1, "no-look-on-waking": 2}
 
 
 @pytest.mark.parametrize("seed", [1, 5, 16])
 def test_one_owner_at_a_time_through_faults(seed: int) -> None:
-    """Seed 16: a step that was done and not recorded was forgotten once, and its duty stood still for good.
-    Seed 5: so it did once where a lease that had run out under a step was found to stand after all."""
+    """Seed 16 covers a fault in which a step that was done but not recorded was forgotten, so that its duty
+    never advanced again. Seed 5 covers the same result after a lease that had expired during a step proved
+    to be valid."""
     played = play(seed, Scene(length=45_000.0))
     assert not played.first_break and played.figures["stuck"] == 0
     assert played.figures["takeover_s"] < 3.0 * 0.6 and played.figures["steps"] > 500
 
 
-def test_a_calm_fleet_changes_no_owner_once_it_is_even() -> None:
+def test_without_faults_no_owner_changes_once_the_duties_are_even() -> None:
     played = play(1, Scene(length=20_000.0, faults=False))
     assert played.figures["unowned_share"] == 0 and played.figures["owner_changes"] <= 3
     assert played.figures["late_effects_offered"] == 0
@@ -57,8 +60,8 @@
     assert played.figures["late_effects_taken"] > 0 and played.first_break
 
 
-@pytest.mark.parametrize(("bug", "seed"), list(FOUND.items()))
-def test_planted_bugs_of_ownership_are_found(bug: str, seed: int) -> None:
+@pytest.mark.parametrize(("bug", "seed"), list(DETECTING_SEEDS.items()))
+def test_injected_faults_of_ownership_are_detected(bug: str, seed: int) -> None:
     assert play(seed, Scene(length=30_000.0), BUGS[bug]).first_break
 
 
@@ -68,7 +71,7 @@
     assert played.figures["voters_changed"] >= 3
 
 
-def test_time_outside_lost_majorities_leaves_out_what_a_taking_needs_after_them() -> None:
+def test_time_outside_lost_majorities_excludes_the_takeover_after_them() -> None:
     away = Away(50.0)
     for now in range(0, 1000, 25):
         away.look(float(now), not (200 <= now <= 300 or 600 <= now <= 625))
