--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -264,10 +264,10 @@
             wait_ms = max(0.0, member.due() - monotonic_ms())
             messages = self.mailbox.take(max(wait_ms, MIN_WAIT_MS))
             now = monotonic_ms()
-            for one in messages:
-                match one:
-                    case PeerMessage(sender, message):
-                        member.handle(sender, message, now)
+            for message in messages:
+                match message:
+                    case PeerMessage(sender, peer_message):
+                        member.handle(sender, peer_message, now)
                     case EffectFinished(effect, taken):
                         member.finish_effect(effect, taken, now)
                     case EligibilityChanged(eligible):
--- a/myrtlecrank/fleet/membership/swim.py
+++ b/myrtlecrank/fleet/membership/swim.py
@@ -24,7 +24,7 @@
 
 MAX_MEMBERS = 1000
 MAX_UPDATES_PER_MESSAGE = 12  # bounds the size of a message
-MAX_LOCAL_HEALTH = 8  # at most, an unhealthy process stretches its timeouts by one more than this factor
+MAX_HEALTH_SCORE = 8  # timeouts are multiplied by one more than the score
 CONFIRMATIONS_FOR_MIN_SUSPICION = 3  # further suspecting members at which the suspicion timeout is shortest
 MAX_SUSPICION_FACTOR = 6.0  # longest suspicion timeout, as a multiple of the shortest
 INDIRECT_REPLY_FACTOR = 2.0  # an indirect probe takes two round trips
@@ -46,9 +46,7 @@
     helpers: int  # members asked for an indirect probe
     min_suspicion_ms: float  # six times as long for a suspicion that nobody confirms
     forget_ms: float  # how long a lost or departed member is remembered, and still contacted
-    exchange_interval_ms: (
-        float  # between full state exchanges, by which the sides of a partition find each other
-    )
+    exchange_interval_ms: float  # between full state exchanges, which reunite the sides of a partition
 
 
 @dataclass(slots=True)
@@ -94,7 +92,7 @@
         self.seeds = {name: address for name, address in seeds.items() if name != local.name}
         self.peers: dict[str, PeerState] = {}
         self.local_transmissions = 0
-        self.local_health = 0  # 0 is healthy; each missed reply that may be this process's fault adds one
+        self.health_score = 0  # 0 is healthy; rises with each sign that this process is at fault itself
         self.seq = 0
         self.probes: dict[int, Probe] = {}
         self.probe_order: list[str] = []  # members left to probe in this round, from the end
@@ -171,7 +169,7 @@
         if delay > PAUSE_PROBE_INTERVALS * self.timing.probe_interval_ms:
             # This process was stopped or kept from its event loop: that no message arrived in that time tells
             # nothing about the other members.
-            self._adjust_health(PAUSE_HEALTH_PENALTY)
+            self._adjust_health_score(PAUSE_HEALTH_PENALTY)
             for probe in self.probes.values():
                 probe.due = max(probe.due, now + self.timing.probe_reply_ms)
             for peer in self.peers.values():
@@ -186,7 +184,7 @@
                 del self.peers[name]
         if now >= self.probe_due:
             jitter = PROBE_JITTER_MIN + PROBE_JITTER_RANGE * self.random()
-            self.probe_due = now + self.timing.probe_interval_ms * (1 + self.local_health) * jitter
+            self.probe_due = now + self.timing.probe_interval_ms * (1 + self.health_score) * jitter
             sends += self._probe_next(now)
         if now >= self.exchange_due:
             jitter = EXCHANGE_JITTER_MIN + EXCHANGE_JITTER_RANGE * self.random()
@@ -214,7 +212,7 @@
 
     def _ping(self, name: str, now: float, requested_by: tuple[str, int] | None) -> Outgoing:
         seq = self._next_seq()
-        due = now + self.timing.probe_reply_ms * (1 + self.local_health)
+        due = now + self.timing.probe_reply_ms * (1 + self.health_score)
         self.probes[seq] = Probe(name, seq, due, 0, requested_by)
         return name, Ping(seq, self._updates_for(name))
 
@@ -227,20 +225,20 @@
             helpers = self._sample(others, self.timing.helpers)
             if helpers:
                 probe.helpers_asked = len(helpers)
-                probe.due = now + INDIRECT_REPLY_FACTOR * self.timing.probe_reply_ms * (1 + self.local_health)
+                probe.due = now + INDIRECT_REPLY_FACTOR * self.timing.probe_reply_ms * (1 + self.health_score)
                 return [
                     (name, PingRequest(probe.seq, probe.target, self._updates_for(name))) for name in helpers
                 ]
         del self.probes[probe.seq]
         # The fault may be this process's own: one that hears no member suspects others ever more slowly.
-        self._adjust_health(1)
+        self._adjust_health_score(1)
         peer = self.peers.get(probe.target)
         if peer is not None and peer.update.state is State.ALIVE:
             self._apply(self._with_state(peer.update, State.SUSPECT, self.local.name), now)
         return []
 
     def _suspicion_end(self, peer: PeerState) -> float:
-        """When a suspicion becomes a loss: sooner with more confirmations, later with poorer local health."""
+        """When a suspicion becomes a loss: sooner with more confirmations, later with a higher score."""
         shortest = self.timing.min_suspicion_ms
         longest = MAX_SUSPICION_FACTOR * self.timing.min_suspicion_ms
         confirmed = (
@@ -249,10 +247,10 @@
             else 0.0
         )
         timeout = max(shortest, longest - (longest - shortest) * confirmed)
-        return peer.state_since + timeout * (1 + self.local_health)
+        return peer.state_since + timeout * (1 + self.health_score)
 
-    def _adjust_health(self, by: int) -> None:
-        self.local_health = min(MAX_LOCAL_HEALTH, max(0, self.local_health + by))
+    def _adjust_health_score(self, by: int) -> None:
+        self.health_score = min(MAX_HEALTH_SCORE, max(0, self.health_score + by))
 
     # -- incoming messages
 
@@ -275,7 +273,7 @@
             requester, seq = probe.requested_by
             return [(requester, Ack(seq, self._updates_for(requester)))]
         if not probe.helpers_asked:
-            self._adjust_health(-1)
+            self._adjust_health_score(-1)
         return []
 
     def _apply(self, update: MemberUpdate, now: float) -> None:
@@ -317,7 +315,7 @@
             or (update.state is not State.ALIVE and update.incarnation == self.local.incarnation)
         ):
             self._update_local(incarnation=max(update.incarnation, self.local.incarnation) + 1)
-            self._adjust_health(1)
+            self._adjust_health_score(1)
 
     @staticmethod
     def _with_state(update: MemberUpdate, state: State, suspected_by: str) -> MemberUpdate:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -17,7 +17,7 @@
     StateExchange,
 )
 from myrtlecrank.fleet.membership.swim import (
-    MAX_LOCAL_HEALTH,
+    MAX_HEALTH_SCORE,
     MAX_UPDATES_PER_MESSAGE,
     Membership,
     MembershipTiming,
@@ -175,7 +175,7 @@
     membership = membership_of("a", "b", "c")
     receive(membership, update("b", 1, State.SUSPECT, "c"))
     before = membership._suspicion_end(membership.peers["b"])
-    membership.local_health = 2
+    membership.health_score = 2
     assert membership._suspicion_end(membership.peers["b"]) == 3.0 * before
 
 
@@ -184,7 +184,7 @@
     membership.tick(0.0)
     receive(membership, update("b", 1, State.SUSPECT, "c"), 10.0)
     membership.tick(60_000.0)
-    assert membership.state("b") is State.SUSPECT and 0 < membership.local_health <= MAX_LOCAL_HEALTH
+    assert membership.state("b") is State.SUSPECT and 0 < membership.health_score <= MAX_HEALTH_SCORE
 
 
 def test_a_leaving_member_counts_as_left_and_not_as_lost() -> None:
