--- a/myrtlecrank/__init__.py
+++ b/myrtlecrank/__init__.py
@@ -1,3 +1,3 @@
-"""Overload controller that lives inside each backend of a fleet."""
+"""An overload controller that runs inside each backend of a fleet."""
 
 __version__ = "0.2.0"
--- a/myrtlecrank/configuration.py
+++ b/myrtlecrank/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a backend at its start."""
+"""The configuration that the platform gives a backend at its start: one JSON file."""
 
 from __future__ import annotations
 
@@ -11,41 +11,50 @@
 from myrtlecrank.settings import FieldError, Fields, gauge_names, start_facts
 
 PATH_VARIABLE = "PROXY_CONFIG"
-LONGEST = 4_000_000  # bytes; a longer file is no configuration, and reading it would fill the memory
-MOVABLE = ("agent", "members", "records")  # what a running process takes over
+MAX_FILE_BYTES = 4_000_000  # a longer file is no configuration, and reading it would fill the memory
+RELOADABLE_KEYS = ("agent", "members", "records")  # a running process applies changes of these
+IPV4_OCTETS = 4
+MAX_OCTET = 255
+MAX_PORT = 65_535
+MAX_PORT_DIGITS = 5
 
 
-class OrdersError(Exception):
-    """The configuration is missing or makes no sense; the text is one plain line."""
+class ConfigurationError(Exception):
+    """The configuration is missing or invalid; the text is one plain line."""
 
 
 @dataclass(slots=True)
-class Orders:
+class Configuration:
+    """One backend's configuration, read and checked. Addresses are IPv4 host and port."""
+
     name: str
-    listen: tuple[str, int]
-    agent: tuple[str, int]
-    members: tuple[str, int]
-    records: tuple[str, int] | None  # the layer below, where the site has one
-    stop_ms: float
+    listen_address: tuple[str, int]
+    agent_address: tuple[str, int]
+    membership_list_address: tuple[str, int]
+    dependency_address: tuple[str, int] | None  # None where the site has no dependency
+    stop_ms: float  # from SIGTERM until the platform kills the process
     sockets: int
-    facts: StartFacts
+    settings: StartFacts
     gauges: list[str]
-    values: dict[str, Any]  # as they were written
+    raw_values: dict[str, Any]  # the JSON object as it was written
 
-    def unlike(self, other: Orders) -> list[str]:
-        """What differs there and takes a new start."""
-        keys = (self.values.keys() | other.values.keys()) - set(MOVABLE)
-        return sorted(key for key in keys if self.values.get(key) != other.values.get(key))
+    def changes_needing_restart(self, other: Configuration) -> list[str]:
+        """The keys, sorted, whose values differ in `other` and that only a restart applies."""
+        keys = (self.raw_values.keys() | other.raw_values.keys()) - set(RELOADABLE_KEYS)
+        return sorted(key for key in keys if self.raw_values.get(key) != other.raw_values.get(key))
 
 
 def _address(fields: Fields, key: str) -> tuple[str, int]:
     text = fields.text(key)
     host, _, port = text.rpartition(":")
-    parts = host.split(".")
-    if len(parts) != 4 or not all(p.isdecimal() and p.isascii() and int(p) < 256 for p in parts):
-        raise FieldError(f"{fields.where}: {key!r} is not an IPv4 address with a port: {text!r}")
-    if not (port.isdecimal() and port.isascii() and len(port) < 6) or not 0 < int(port) < 65536:
-        raise FieldError(f"{fields.where}: {key!r} has no usable port: {text!r}")
+    octets = host.split(".")
+    if len(octets) != IPV4_OCTETS or not all(
+        octet.isdecimal() and octet.isascii() and int(octet) <= MAX_OCTET for octet in octets
+    ):
+        raise FieldError(f"{fields.where}: {key!r} must be an IPv4 address with a port, found {text!r}")
+    is_number = port.isdecimal() and port.isascii() and len(port) <= MAX_PORT_DIGITS
+    if not is_number or not 0 < int(port) <= MAX_PORT:
+        raise FieldError(f"{fields.where}: {key!r} must have a port from 1 to {MAX_PORT}, found {text!r}")
     return host, int(port)
 
 
@@ -54,62 +63,68 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise FieldError(f"{fields.where}: 'seed' is not hexadecimal: {text!r}") from None
+        raise FieldError(f"{fields.where}: 'seed' must be hexadecimal, found {text!r}") from None
 
 
 def _positive(fields: Fields, key: str) -> float:
     value = fields.number(key)
     if not value > 0:
-        raise FieldError(f"{fields.where}: {key!r} is not above 0")
+        raise FieldError(f"{fields.where}: {key!r} must be above 0, found {value:g}")
     return value
 
 
-def read(path: str | None = None) -> Orders:
-    """Reads the file, or the one that the environment names; raises OrdersError."""
+def read(path: str | None = None) -> Configuration:
+    """Reads the file at `path`, or the one that PROXY_CONFIG names. Raises ConfigurationError."""
     path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise OrdersError(f"no configuration: {PATH_VARIABLE} is not set and no file is named")
+        raise ConfigurationError(f"no configuration: {PATH_VARIABLE} is not set and no file is named")
     try:
         with open(path, "rb") as file:
-            text = file.read(LONGEST + 1)
-        if len(text) > LONGEST:
-            raise OrdersError(f"{path} is longer than {LONGEST} bytes")
-        values = json.loads(text, parse_constant=_no_number)
+            text = file.read(MAX_FILE_BYTES + 1)
+        if len(text) > MAX_FILE_BYTES:
+            raise ConfigurationError(f"{path} is longer than {MAX_FILE_BYTES} bytes")
+        values = json.loads(text, parse_constant=_reject_constant)
     except OSError as error:
-        raise OrdersError(f"{path} cannot be read: {error.strerror}") from None
+        raise ConfigurationError(f"{path} cannot be read: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise OrdersError(f"{path} is not JSON: {error}") from None
+        raise ConfigurationError(f"{path} is not JSON: {error}") from None
     try:
         return parse(Fields(values, path))
     except FieldError as error:
-        raise OrdersError(str(error)) from None
+        raise ConfigurationError(str(error)) from None
     except (ValueError, TypeError, OverflowError) as error:
-        raise OrdersError(f"{path} holds a senseless value: {error}") from None
-
-
-def _no_number(text: str) -> NoReturn:
-    raise ValueError(f"{text} is no number")
-
-
-def parse(fields: Fields) -> Orders:
-    conf = fields.inner("settings")
-    facts = start_facts(conf, _seed(fields))
-    # On sockets an answer is what was made for its own exchange: the protocol has no word by which one would
-    # share another's, whatever the settings allow.
-    facts.share_for = 0.0
-    if not facts.groups or facts.cores < 1 or facts.memory_kb <= 0:
-        raise FieldError(f"{conf.where}: needs at least one category, one core and some memory")
-    if any(not 0 < group.slo <= group.timeout for group in facts.groups):
-        raise FieldError(f"{conf.where}: an aim must be above 0 and within its deadline")
-    return Orders(
+        raise ConfigurationError(f"{path} has an invalid value: {error}") from None
+
+
+def _reject_constant(text: str) -> NoReturn:
+    """Rejects NaN and the infinities, which Python's JSON reader accepts though JSON has no such numbers."""
+    raise ValueError(f"{text} is not a JSON number")
+
+
+def parse(fields: Fields) -> Configuration:
+    """Checks the values of the whole file. Raises FieldError, ValueError, TypeError or OverflowError."""
+    settings_fields = fields.inner("settings")
+    settings = start_facts(settings_fields, _seed(fields))
+    # Over sockets each answer belongs to the exchange that it was produced for: the protocol cannot mark an
+    # answer as shared with another exchange, whatever the settings allow.
+    settings.share_for = 0.0
+    if not settings.groups or settings.cores < 1 or settings.memory_kb <= 0:
+        raise FieldError(
+            f"{settings_fields.where}: must have at least one category, one core and a memory limit above 0"
+        )
+    if any(not 0 < group.slo <= group.timeout for group in settings.groups):
+        raise FieldError(
+            f"{settings_fields.where}: each 'aim' must be above 0 and at most its category's 'deadline'"
+        )
+    return Configuration(
         name=fields.text("name"),
-        listen=_address(fields, "listen"),
-        agent=_address(fields, "agent"),
-        members=_address(fields, "members"),
-        records=None if facts.below is Below.NONE else _address(fields, "records"),
+        listen_address=_address(fields, "listen"),
+        agent_address=_address(fields, "agent"),
+        membership_list_address=_address(fields, "members"),
+        dependency_address=None if settings.below is Below.NONE else _address(fields, "records"),
         stop_ms=_positive(fields, "stop_ms"),
         sockets=int(_positive(fields.inner("limits"), "sockets")),
-        facts=facts,
-        gauges=gauge_names(conf),
-        values=fields.values,
+        settings=settings,
+        gauges=gauge_names(settings_fields),
+        raw_values=fields.values,
     )
--- a/myrtlecrank/operators/__init__.py
+++ b/myrtlecrank/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' file: one TOML for all subsystems, read whole or not at all."""
+"""The operators' file: one TOML file with a section for each subsystem, read whole or not at all."""
--- a/myrtlecrank/operators/file.py
+++ b/myrtlecrank/operators/file.py
@@ -1,4 +1,4 @@
-"""Finds, reads and checks the operators' file. Raises one error with all mistakes, a plain line each."""
+"""Finds, reads and checks the operators' file. One error lists all mistakes in it, a plain line each."""
 
 from __future__ import annotations
 
@@ -8,63 +8,66 @@
 from importlib import import_module
 from typing import Any
 
-from myrtlecrank.operators.sections import nearest, read
+from myrtlecrank.operators.sections import read_section, suggestion
 
 PATH_VARIABLE = "MYRTLECRANK_OPERATORS"
-USUAL = os.path.join("deploy", "operators.toml")
-LONGEST = 1_000_000  # bytes; a longer file is none of ours, and reading it would fill the memory
-# Of each section: what it is read into, and what contradicts itself in it. A section may be named by its
-# module, with Bounds and contradictions in it: that is imported only where the section is in the file.
-Known = tuple[type[Any], Callable[[Any], list[str]]]
-Sections = Mapping[str, Known | str]
+DEFAULT_PATH = os.path.join("deploy", "operators.toml")
+MAX_FILE_BYTES = 1_000_000  # a longer file is no operators' file, and reading it would fill the memory
+# The dataclass that a section is read into, and a function that lists its contradictions.
+SectionDefinition = tuple[type[Any], Callable[[Any], list[str]]]
+# By section name. A string is the path of a module that has the definition as `Bounds` and `contradictions`;
+# it is imported only when the section is needed.
+SectionDefinitions = Mapping[str, SectionDefinition | str]
 
 
-def known(sections: Sections, name: str) -> Known:
-    found = sections[name]
-    if isinstance(found, str):
-        module = import_module(found)
-        return module.Bounds, module.contradictions
-    return found
+class OperatorsError(Exception):
+    """The operators' file is missing or invalid; the text has a line for each mistake."""
 
+    def __init__(self, path: str, mistakes: list[str]) -> None:
+        super().__init__("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+        self.mistakes = mistakes
 
-class OperatorsError(Exception):
-    """The file is missing or makes no sense; the text has a line for each mistake."""
 
-    def __init__(self, path: str, wrong: list[str]) -> None:
-        super().__init__("\n".join(f"{path}: {line}" for line in wrong))
-        self.wrong = wrong
+def section_definition(definitions: SectionDefinitions, name: str) -> SectionDefinition:
+    """The definition of one section; imports its module where it is given by path."""
+    definition = definitions[name]
+    if isinstance(definition, str):
+        module = import_module(definition)
+        return module.Bounds, module.contradictions
+    return definition
 
 
-def find(path: str | None) -> str | None:
-    """The file to read: the one named, else the environment's, else the usual one where there is one."""
+def find_file(path: str | None) -> str | None:
+    """The file to read: `path`, else the one that MYRTLECRANK_OPERATORS names, else the default one if it
+    exists, else None."""
     named = path or os.environ.get(PATH_VARIABLE)
-    return named or (USUAL if os.path.exists(USUAL) else None)
+    return named or (DEFAULT_PATH if os.path.exists(DEFAULT_PATH) else None)
 
 
-def load(path: str, sections: Sections) -> dict[str, Any]:
-    """The sections that stand in the file, each as its package's figures."""
+def load_sections(path: str, definitions: SectionDefinitions) -> dict[str, Any]:
+    """The sections of the file by name, each as an instance of its dataclass. Raises OperatorsError."""
     try:
         with open(path, "rb") as file:
-            raw = file.read(LONGEST + 1)
+            content = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise OperatorsError(path, [f"cannot be read: {error.strerror}"]) from None
-    if len(raw) > LONGEST:
-        raise OperatorsError(path, [f"is longer than {LONGEST} bytes"])
+    if len(content) > MAX_FILE_BYTES:
+        raise OperatorsError(path, [f"is longer than {MAX_FILE_BYTES} bytes"])
     try:
-        values = tomllib.loads(raw.decode("utf-8-sig"))
+        tables = tomllib.loads(content.decode("utf-8-sig"))
     except (ValueError, RecursionError) as error:
         raise OperatorsError(path, [f"is not TOML: {error}"]) from None
-    wrong: list[str] = []
-    taken: dict[str, Any] = {}
-    for name, table in values.items():
-        if name not in sections:
-            wrong.append(f"[{name}]: unknown section{nearest(name, list(sections))}")
+    mistakes: list[str] = []
+    sections: dict[str, Any] = {}
+    for name, table in tables.items():
+        if name not in definitions:
+            mistakes.append(f"[{name}]: unknown section{suggestion(name, list(definitions))}")
             continue
-        kind, contradictions = known(sections, name)
-        section = read(kind, name, table, wrong)
+        section_type, contradictions = section_definition(definitions, name)
+        section = read_section(section_type, name, table, mistakes)
         if section is not None:
-            wrong += [f"[{name}] {line}" for line in contradictions(section)]
-            taken[name] = section
-    if wrong:
-        raise OperatorsError(path, wrong)
-    return taken
+            mistakes += [f"[{name}] {mistake}" for mistake in contradictions(section)]
+            sections[name] = section
+    if mistakes:
+        raise OperatorsError(path, mistakes)
+    return sections
--- a/myrtlecrank/operators/sections.py
+++ b/myrtlecrank/operators/sections.py
@@ -1,7 +1,8 @@
-"""Typed reading of one section of the operators' file into the figures that its package asks for.
+"""Typed reading of one section of the operators' file.
 
-A package states its section as a frozen dataclass; the metadata of a field says what is allowed (see
-`figure`)."""
+A package declares its section as a frozen dataclass, with a field for each option. The metadata of a field
+says which values are allowed and what the option means; `figure`, `words` and `table` make such fields.
+"""
 
 from __future__ import annotations
 
@@ -11,99 +12,116 @@
 from typing import Any, TypeVar
 
 Section = TypeVar("Section")
-LONGEST_TEXT, MOST_ENTRIES = 500, 2000  # of one text; of one list or table
+MAX_TEXT_CHARS = 500
+MAX_ENTRIES = 2000  # of one list or table
+# Types of fields are compared as strings: the modules that declare sections postpone the evaluation of
+# annotations.
+TEXT_LIST_TYPE = "tuple[str, ...]"
+TEXT_TYPES = ("str", TEXT_LIST_TYPE)
+MIN_NAME_SIMILARITY = 0.5  # from which a known name is suggested for an unknown one
 
 
 def figure(default: Any, least: float = -math.inf, most: float = math.inf, what: str = "") -> Any:
-    """A field of a section: its default, the least and the most that is allowed, and what it means in a
-    line."""
+    """A field that holds a number or a flag: its default, the least and the most that is allowed, and a short
+    description."""
     return field(default=default, metadata={"least": least, "most": most, "what": what})
 
 
 def words(what: str, least: int = 0, default: Any = "") -> Any:
-    """A field that holds text, or with `default` () a list of texts; `least`: its fewest characters."""
-    return field(default=default, metadata={"least": least, "most": LONGEST_TEXT, "what": what})
+    """A field that holds text, or a list of texts if `default` is (). `least` is the minimum length of the
+    text, in characters."""
+    return field(default=default, metadata={"least": least, "most": MAX_TEXT_CHARS, "what": what})
 
 
 def table(kind: type[Any], what: str) -> Any:
-    """A field that holds tables of one kind by name."""
+    """A field that holds tables by name, each read into the dataclass `kind`."""
     return field(default_factory=dict, metadata={"kind": kind, "what": what})
 
 
-def nearest(name: str, known: list[str]) -> str:
-    """The end of a message on an unknown name."""
-    from difflib import get_close_matches  # only for mistakes: it costs a start some ms
+def suggestion(name: str, known_names: list[str]) -> str:
+    """The end of an error message on an unknown name: the most similar known one, else all of them."""
+    from difflib import get_close_matches  # slow to import, and needed only for mistakes
 
-    close = get_close_matches(name, known, n=1, cutoff=0.5)
-    return f"; is {close[0]!r} meant?" if close else f"; known: {', '.join(sorted(known))}"
+    close = get_close_matches(name, known_names, n=1, cutoff=MIN_NAME_SIMILARITY)
+    return f"; is {close[0]!r} meant?" if close else f"; known: {', '.join(sorted(known_names))}"
 
 
-TEXTS = ("str", "tuple[str, ...]")
-
-
-def _allowed(one: Field[Any]) -> str:
-    if one.type == "bool":
+def _allowed_values(option: Field[Any]) -> str:
+    if option.type == "bool":
         return "true or false"
-    if "kind" in one.metadata:
+    if "kind" in option.metadata:
         return "a table for each name"
-    if one.type in TEXTS:
-        least = one.metadata["least"]
-        kind = "a text" if one.type == "str" else "a list of texts"
-        return kind + (" that is not empty" if least else "")
-    kind = "a whole number" if one.type == "int" else "a number"
-    least, most = one.metadata["least"], one.metadata["most"]
+    if option.type in TEXT_TYPES:
+        kind = "a text" if option.type == "str" else "a list of texts"
+        return kind + (" that is not empty" if option.metadata["least"] else "")
+    kind = "a whole number" if option.type == "int" else "a number"
+    least, most = option.metadata["least"], option.metadata["most"]
     if math.isinf(most):
         return kind if math.isinf(least) else f"{kind} of {least:g} or more"
     return f"{kind} from {least:g} to {most:g}"
 
 
-def _fits(one: Field[Any], value: Any) -> bool:
-    if one.type == "bool":
+def _is_allowed(option: Field[Any], value: Any) -> bool:
+    if option.type == "bool":
         return isinstance(value, bool)
-    if one.type == "str":
-        return isinstance(value, str) and one.metadata["least"] <= len(value) <= LONGEST_TEXT
-    if one.type in TEXTS:
+    if option.type == "str":
+        return isinstance(value, str) and option.metadata["least"] <= len(value) <= MAX_TEXT_CHARS
+    if option.type == TEXT_LIST_TYPE:
         return (
             isinstance(value, list)
-            and len(value) <= MOST_ENTRIES
-            and all(isinstance(text, str) and 0 < len(text) <= LONGEST_TEXT for text in value)
+            and len(value) <= MAX_ENTRIES
+            and all(isinstance(text, str) and 0 < len(text) <= MAX_TEXT_CHARS for text in value)
         )
-    if "kind" in one.metadata:
-        return isinstance(value, Mapping) and len(value) <= MOST_ENTRIES
-    if isinstance(value, bool) or not isinstance(value, int if one.type == "int" else int | float):
+    if "kind" in option.metadata:
+        return isinstance(value, Mapping) and len(value) <= MAX_ENTRIES
+    # bool is a subclass of int
+    if isinstance(value, bool) or not isinstance(value, int if option.type == "int" else int | float):
         return False
-    return bool(one.metadata["least"] <= value <= one.metadata["most"])  # not so for nan
+    return bool(option.metadata["least"] <= value <= option.metadata["most"])  # False for NaN
 
 
-def read(kind: type[Section], name: str, values: object, wrong: list[str]) -> Section | None:
-    """One section from its table; None, and a line in `wrong` for each mistake, where it makes no sense."""
+def read_section(
+    section_type: type[Section], name: str, values: object, mistakes: list[str]
+) -> Section | None:
+    """Reads the table `values` into the dataclass `section_type`. Where it is invalid, returns None and adds
+    a line for each mistake to `mistakes`. `name` is the section's name in those lines."""
     if not isinstance(values, Mapping):
-        wrong.append(f"[{name}]: is {values!r:.60}; a table is wanted")
+        mistakes.append(f"[{name}]: is {values!r:.60}; a table is expected")
         return None
-    known = {one.name: one for one in fields(kind)}  # type: ignore[arg-type]
-    before = len(wrong)
-    taken: dict[str, Any] = {}
+    options = {option.name: option for option in fields(section_type)}  # type: ignore[arg-type]
+    mistakes_before = len(mistakes)
+    arguments: dict[str, Any] = {}
     for key, value in values.items():
-        one = known.get(key)
-        if one is None:
-            wrong.append(f"[{name}] {key}: unknown{nearest(key, list(known))}")
-        elif not _fits(one, value):
-            wrong.append(f"[{name}] {key}: is {value!r:.60}; allowed: {_allowed(one)}")
-        elif "kind" in one.metadata:
+        option = options.get(key)
+        if option is None:
+            mistakes.append(f"[{name}] {key}: unknown{suggestion(key, list(options))}")
+        elif not _is_allowed(option, value):
+            mistakes.append(f"[{name}] {key}: is {value!r:.60}; allowed: {_allowed_values(option)}")
+        elif "kind" in option.metadata:
             inner = {
-                each: read(one.metadata["kind"], f"{name}.{key}.{each}", told, wrong)
-                for each, told in value.items()
+                inner_name: read_section(
+                    option.metadata["kind"], f"{name}.{key}.{inner_name}", inner_values, mistakes
+                )
+                for inner_name, inner_values in value.items()
+            }
+            arguments[key] = {
+                inner_name: section for inner_name, section in inner.items() if section is not None
             }
-            taken[key] = {each: section for each, section in inner.items() if section is not None}
         else:
-            turned = {"float": float, TEXTS[1]: tuple}.get(str(one.type))
-            taken[key] = value if turned is None else turned(value)
-    return kind(**taken) if len(wrong) == before else None
+            convert = {"float": float, TEXT_LIST_TYPE: tuple}.get(str(option.type))
+            arguments[key] = value if convert is None else convert(value)
+    return section_type(**arguments) if len(mistakes) == mistakes_before else None
 
 
-def explain(kind: type[Any]) -> list[tuple[str, Any, str, str]]:
-    """Of each figure: name, default, what is allowed, what it means."""
+def describe_options(section_type: type[Any]) -> list[tuple[str, Any, str, str]]:
+    """For each option of a section: its name, its default (None for a table), the allowed values, and its
+    description."""
     return [
-        (one.name, None if "kind" in one.metadata else one.default, _allowed(one), one.metadata["what"])
-        for one in fields(kind)
+        (
+            option.name,
+            None if "kind" in option.metadata else option.default,
+            _allowed_values(option),
+            option.metadata["what"],
+        )
+        for option in fields(section_type)
     ]
--- a/myrtlecrank/serve.py
+++ b/myrtlecrank/serve.py
@@ -1,4 +1,4 @@
-"""Starts the actors of one backend and waits for its end."""
+"""Starts the actors of one backend and waits until the backend has drained."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from myrtlecrank import log
 from myrtlecrank.agent.client import Link
-from myrtlecrank.configuration import Orders, OrdersError
+from myrtlecrank.configuration import Configuration, ConfigurationError
 from myrtlecrank.core.actor import Core, now_ms
 from myrtlecrank.core.messages import Adopt, Leave
 from myrtlecrank.dependency.client import BelowLink
@@ -20,127 +20,147 @@
 from myrtlecrank.membership_list.client import Roll
 from myrtlecrank.operators.file import OperatorsError
 from myrtlecrank.signals import SIGNALS
-from myrtlecrank.subsystems import SECTIONS, Operators
+from myrtlecrank.subsystems import SECTIONS, OperatorOptions
 
-FAILED = 70  # exit code after an error of our own
-LOOK_S = 0.02  # how often a leaving process looks whether all is done
-WRONG_LINES = 5  # of a file that makes no sense, in the log
-LAST_MS = 60.0  # before the process is stopped, it ends by itself
+EXIT_INTERNAL_ERROR = 70  # EX_SOFTWARE of sysexits.h
+DRAIN_POLL_S = 0.02
+EXIT_MARGIN_MS = 60.0  # the process exits this long before the platform would kill it
+MAX_LOGGED_MISTAKES = 5  # of one invalid operators' file
+MAX_LOGGED_CHARS = 300  # of one mistake
+MAX_LOGGED_NAME_CHARS = 40
+MAX_LOGGED_KEYS_CHARS = 200
+DEPENDENCY_SILENCE_SLO_SHARE = 0.5  # of the shortest SLO time: how long the dependency may stay silent
 
 
 def serve(
-    orders: Orders,
-    operators: Operators,
-    again: Callable[[], Orders],
-    again_operators: Callable[[], Operators],
+    configuration: Configuration,
+    operator_options: OperatorOptions,
+    read_configuration: Callable[[], Configuration],
+    load_operator_options: Callable[[], OperatorOptions],
 ) -> int:
-    """Runs one backend until the notice to leave has been followed; its exit code. `again` reads the
-    configuration once more, `again_operators` the operators' file."""
+    """Runs one backend until it has drained after SIGTERM or SIGINT, and returns the exit code.
+
+    On SIGHUP, `read_configuration` and `load_operator_options` read the two files again. Raises OSError where
+    the listen address cannot be bound.
+    """
     log.to_stderr()
-    # The numeric addresses need no look-up, and so no threads for it.
+    # The addresses are numeric: the blocking resolver needs no thread pool.
     gevent.config.resolver = "block"
-    link: Link
-    roll = Roll(orders.members, orders.name)
+    agent: Link
     core: Core
-    below = (
-        None
-        if orders.records is None
-        else BelowLink(
-            orders.records, lambda e: core.mailbox.post(e), 0.5 * min(g.slo for g in orders.facts.groups)
+    membership_list = Roll(configuration.membership_list_address, configuration.name)
+    dependency = None
+    if configuration.dependency_address is not None:
+        shortest_slo = min(group.slo for group in configuration.settings.groups)
+        dependency = BelowLink(
+            configuration.dependency_address,
+            lambda event: core.mailbox.post(event),
+            DEPENDENCY_SILENCE_SLO_SHARE * shortest_slo,
         )
-    )
     core = Core(
-        orders.facts,
-        orders.stop_ms,
-        lambda c: link.mailbox.post(c),
-        roll.tell,
-        repeats=operators.repeats,
-        below=None if below is None else below.mailbox.post,
+        configuration.settings,
+        configuration.stop_ms,
+        lambda command: agent.mailbox.post(command),
+        membership_list.tell,
+        repeats=operator_options.repeats,
+        below=None if dependency is None else dependency.mailbox.post,
     )
-    link = Link(orders.agent, orders.gauges, core.mailbox.post)
-    over, code = Flag(), [0]
-
-    def actor(work: Callable[[], object]) -> None:
-        """Guards against a half-dead process: an actor that fails ends the whole."""
+    agent = Link(configuration.agent_address, configuration.gauges, core.mailbox.post)
+    finished = Flag()
+    stopped_accepting = Flag()
+    exit_code = 0
+
+    def run_actor(run: Callable[[], object]) -> None:
+        """Runs one actor. If it fails, the process ends rather than run on without it."""
+        nonlocal exit_code
         try:
-            work()
+            run()
         except Exception:
-            logger.exception("{} failed", getattr(work, "__qualname__", work))
-            code[0] = FAILED
-            over.set()
+            logger.exception("{} failed", getattr(run, "__qualname__", run))
+            exit_code = EXIT_INTERNAL_ERROR
+            finished.set()
 
-    def spawn(work: Callable[[], object]) -> None:
-        gevent.spawn(actor, work)
+    def spawn(run: Callable[[], object]) -> None:
+        gevent.spawn(run_actor, run)
 
     fleet = None
-    if operators.fleet is not None:
-        from myrtlecrank.fleet.actor import FleetActor  # nothing of it is there while the section is off
-
-        fleet = FleetActor(operators.fleet, orders.name, orders.facts.seed)
-    front = Front(orders.listen, orders.sockets, core, spawn, operators.accepting)
-
-    def watch_leaving() -> None:
-        core_shut.wait()
-        while now_ms() < (core.stop_at or 0.0) - LAST_MS:
-            if not core.unanswered and front.emptied() and roll.told is False:
+    if operator_options.fleet is not None:
+        from myrtlecrank.fleet.actor import FleetActor  # not imported while the section is off
+
+        fleet = FleetActor(operator_options.fleet, configuration.name, configuration.settings.seed)
+    edge = Front(configuration.listen_address, configuration.sockets, core, spawn, operator_options.accepting)
+
+    def finish_drain() -> None:
+        """Ends the process once every exchange is answered and the membership list knows that this backend is
+        out, or when the time to stop is nearly over."""
+        stopped_accepting.wait()
+        while now_ms() < (core.stop_at or 0.0) - EXIT_MARGIN_MS:
+            if not core.unanswered and edge.emptied() and membership_list.told is False:
                 break
-            gevent.sleep(LOOK_S)
-        logger.info("leaves with {} exchanges, {} connections", core.unanswered, len(front.connections))
-        front.last_words()
-        over.set()
+            gevent.sleep(DRAIN_POLL_S)
+        logger.info("leaves with {} exchanges, {} connections", core.unanswered, len(edge.connections))
+        edge.last_words()
+        finished.set()
 
-    held = [operators]
+    current_options = operator_options
 
     def reload() -> None:
-        reload_orders()
-        reload_operators()
+        reload_configuration()
+        reload_operator_options()
 
-    def reload_operators() -> None:
-        """Taken over whole, or not at all."""
+    def reload_operator_options() -> None:
+        """Applies the operators' file whole, or not at all where it has a mistake."""
+        nonlocal current_options
         try:
-            told = again_operators()
+            new = load_operator_options()
         except OperatorsError as error:
-            for line in str(error).splitlines()[:WRONG_LINES]:
-                logger.error("the old operators' file goes on: {}", line[:300])
+            for line in str(error).splitlines()[:MAX_LOGGED_MISTAKES]:
+                logger.error("the old operators' file goes on: {}", line[:MAX_LOGGED_CHARS])
             return
-        unlike = held[0].unlike(told)
-        if unlike:
-            logger.info("operators' file read: changed are {}", ", ".join(unlike))
-            core.mailbox.post(Adopt(told.repeats))
-            front.adopt(told.accepting)
-            if fleet is not None and told.fleet is not None:
-                fleet.retune(told.fleet)
-            elif "fleet" in unlike:
+        changed = current_options.changed_sections(new)
+        if changed:
+            logger.info("operators' file read: changed are {}", ", ".join(changed))
+            core.mailbox.post(Adopt(new.repeats))
+            edge.adopt(new.accepting)
+            if fleet is not None and new.fleet is not None:
+                fleet.retune(new.fleet)
+            elif "fleet" in changed:
                 logger.warning("[fleet] takes a new start and stays as it was")
-        held[0] = told
+        current_options = new
 
-    def reload_orders() -> None:
-        """The agent and the list may have moved; all else is as it was at the start."""
+    def reload_configuration() -> None:
+        """Applies new addresses of the agent, the membership list and the dependency; every other setting
+        stays as it was at the start."""
         try:
-            told = again()
-        except OrdersError as error:
+            new = read_configuration()
+        except ConfigurationError as error:
             logger.error("the old configuration goes on: {}", error)
             return
-        if told.name != orders.name:
-            logger.error("the old configuration goes on: the new one is for {!r}", told.name[:40])
+        if new.name != configuration.name:
+            logger.error(
+                "the old configuration goes on: the new one is for {!r}", new.name[:MAX_LOGGED_NAME_CHARS]
+            )
             return
-        unlike = orders.unlike(told)
-        if unlike:
-            logger.warning("these take a new start and stay as they were: {}", ", ".join(unlike)[:200])
-        logger.info("configuration read: agent {}:{}, list {}:{}", *told.agent, *told.members)
-        if below is not None and told.records is not None:
-            logger.info("configuration read: layer below {}:{}", *told.records)
-            below.move(told.records)
-        link.move(told.agent)
-        roll.move(told.members)
-
-    core_shut = Flag()
-    core.on_shut.append(core_shut.set)
-    core.on_beat += [link.look, roll.beat]
-    if below is not None:
-        core.on_beat.append(below.look)
-
-    def leave() -> None:
+        ignored = configuration.changes_needing_restart(new)
+        if ignored:
+            logger.warning(
+                "these take a new start and stay as they were: {}", ", ".join(ignored)[:MAX_LOGGED_KEYS_CHARS]
+            )
+        logger.info(
+            "configuration read: agent {}:{}, list {}:{}", *new.agent_address, *new.membership_list_address
+        )
+        if dependency is not None and new.dependency_address is not None:
+            logger.info("configuration read: layer below {}:{}", *new.dependency_address)
+            dependency.move(new.dependency_address)
+        agent.move(new.agent_address)
+        membership_list.move(new.membership_list_address)
+
+    core.on_shut.append(stopped_accepting.set)
+    core.on_beat += [agent.look, membership_list.beat]
+    if dependency is not None:
+        core.on_beat.append(dependency.look)
+
+    def start_drain() -> None:
         core.mailbox.post(Leave(now_ms()))
         if fleet is not None:
             fleet.depart()
@@ -151,19 +171,29 @@
             lambda _: member.feel(core.board, core.repeats is not None and core.repeats.storm)
         )
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, leave)
+        gevent.signal_handler(number, start_drain)
     gevent.signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-    works: list[Callable[[], object]] = [core.run, link.run, link.write, roll.run, front.run, watch_leaving]
-    if below is not None:
-        works.append(below.run)
-    for work in works + (fleet.actors() if fleet is not None else []):
-        spawn(work)
-    logger.info("{} listens on {}:{}", orders.name, *orders.listen)
-    if operators.path is not None:
-        on = [name for name in SECTIONS if getattr(operators, name) is not None]
-        logger.info("operators' file {}: on are {}", operators.path, ", ".join(on) or "none")
+    actors: list[Callable[[], object]] = [
+        core.run,
+        agent.run,
+        agent.write,
+        membership_list.run,
+        edge.run,
+        finish_drain,
+    ]
+    if dependency is not None:
+        actors.append(dependency.run)
+    if fleet is not None:
+        actors += fleet.actors()
+    for actor in actors:
+        spawn(actor)
+    logger.info("{} listens on {}:{}", configuration.name, *configuration.listen_address)
+    if operator_options.path is not None:
+        enabled = [name for name in SECTIONS if getattr(operator_options, name) is not None]
+        logger.info("operators' file {}: on are {}", operator_options.path, ", ".join(enabled) or "none")
+    # Excludes the objects that exist by now from all later garbage collections.
     gc.collect()
     gc.freeze()
-    over.wait()
-    return code[0]
+    finished.wait()
+    return exit_code
--- a/myrtlecrank/signals.py
+++ b/myrtlecrank/signals.py
@@ -1,5 +1,8 @@
-"""The signals that a serving process follows. Imports nothing of ours and nothing heavy, so that they can be
-held before anything else is done."""
+"""The signals that a serving process handles.
+
+Imports no other module of the package and none that is slow to load, so that the signals can be blocked
+before anything else is done.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def hold_signals() -> None:
-    """Guards against a signal that comes before serve() can follow it, while the program's parts are still
-    being loaded: it waits instead of ending us."""
+def block_signals() -> None:
+    """Blocks the signals until serve() has installed its handlers. One that arrives while the program is
+    being loaded stays pending instead of killing the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
--- a/myrtlecrank/subsystems.py
+++ b/myrtlecrank/subsystems.py
@@ -1,4 +1,4 @@
-"""Which subsystems there are beside the module, and what the operators set of each."""
+"""The optional subsystems, and the options that the operators' file sets for each."""
 
 from __future__ import annotations
 
@@ -6,40 +6,42 @@
 from typing import TYPE_CHECKING
 
 from myrtlecrank.edge import accept_rate
-from myrtlecrank.operators.file import Sections, find
-from myrtlecrank.operators.file import load as load_sections
-from myrtlecrank.retries import options as repeats
+from myrtlecrank.operators.file import SectionDefinitions, find_file, load_sections
+from myrtlecrank.retries import options as retry_options
 
 if TYPE_CHECKING:
-    from myrtlecrank.fleet import options as fleet
+    from myrtlecrank.fleet import options as fleet_options
 
-SECTIONS: Sections = {
-    "repeats": (repeats.Bounds, repeats.contradictions),
+SECTIONS: SectionDefinitions = {
+    "repeats": (retry_options.Bounds, retry_options.contradictions),
     "accepting": (accept_rate.Accepting, accept_rate.contradictions),
     "fleet": "myrtlecrank.fleet.options",
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Operators:
-    """What the operators' file says; a subsystem that is off or not in it is None."""
+class OperatorOptions:
+    """The options of each section of the operators' file; None for a subsystem that is off or not in it.
+
+    The fields other than `path` are named as the sections are: they are looked up by section name.
+    """
 
     path: str | None = None
-    repeats: repeats.Bounds | None = None
+    repeats: retry_options.Bounds | None = None
     accepting: accept_rate.Accepting | None = None
-    fleet: fleet.Bounds | None = None
+    fleet: fleet_options.Bounds | None = None
 
-    def unlike(self, other: Operators) -> list[str]:
-        """The sections that differ there."""
-        names = [one.name for one in fields(self) if one.name != "path"]
+    def changed_sections(self, other: OperatorOptions) -> list[str]:
+        """The names of the sections whose options differ in `other`."""
+        names = [field.name for field in fields(self) if field.name != "path"]
         return [name for name in names if getattr(self, name) != getattr(other, name)]
 
 
-def load(path: str | None = None) -> Operators:
-    """Reads the file named, else the environment's, else the usual one; without any, all are off. Raises
-    OperatorsError."""
-    found = find(path)
-    if found is None:
-        return Operators()
-    taken = load_sections(found, SECTIONS)
-    return Operators(found, **{name: section for name, section in taken.items() if section.on})
+def load(path: str | None = None) -> OperatorOptions:
+    """Reads the file at `path`, else the one that MYRTLECRANK_OPERATORS names, else the default one; where
+    there is none, every subsystem is off. Raises OperatorsError."""
+    file = find_file(path)
+    if file is None:
+        return OperatorOptions()
+    sections = load_sections(file, SECTIONS)
+    return OperatorOptions(file, **{name: options for name, options in sections.items() if options.on})
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 from myrtlecrank.cli import main
 from myrtlecrank.core.messages import Adopt
 from myrtlecrank.edge.accept_rate import Accepting
-from myrtlecrank.operators.file import LONGEST, OperatorsError
+from myrtlecrank.operators.file import MAX_FILE_BYTES, OperatorsError
 from myrtlecrank.policy.interface import Gauges
 from myrtlecrank.retries.estimator import Tide
 from myrtlecrank.retries.options import Bounds
@@ -85,7 +85,7 @@
 
 
 def test_a_file_too_long_is_not_read(tmp_path: Path) -> None:
-    assert "longer than" in wrong(tmp_path, b"#" * (LONGEST + 1))[0]
+    assert "longer than" in wrong(tmp_path, b"#" * (MAX_FILE_BYTES + 1))[0]
 
 
 def test_windows_line_ends_and_a_mark_at_the_beginning_do_no_harm(tmp_path: Path) -> None:
@@ -98,16 +98,16 @@
     off, empty = tmp_path / "off.toml", tmp_path / "empty.toml"
     off.write_text("[repeats]\non = false\n")
     empty.write_text("")
-    assert not subsystems.load(str(off)).unlike(subsystems.load(str(empty)))
+    assert not subsystems.load(str(off)).changed_sections(subsystems.load(str(empty)))
     shipped = subsystems.load(str(ROOT / "deploy/operators.toml"))
-    assert subsystems.load(str(off)).unlike(shipped) == ["repeats", "accepting"]
+    assert subsystems.load(str(off)).changed_sections(shipped) == ["repeats", "accepting"]
 
 
 def test_a_file_that_is_named_and_missing_is_an_error_and_none_at_all_is_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
-    assert subsystems.load() == subsystems.Operators()
+    assert subsystems.load() == subsystems.OperatorOptions()
     monkeypatch.setenv("MYRTLECRANK_OPERATORS", str(tmp_path / "gone.toml"))
     with pytest.raises(OperatorsError, match="cannot be read"):
         subsystems.load()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 from helpers import ask_bytes
 
 from myrtlecrank import configuration
-from myrtlecrank.log import AT_MOST, Sparing
+from myrtlecrank.log import MAX_LINES, RateLimitFilter
 from myrtlecrank.policy.interface import Meaning
 from myrtlecrank.settings import Fields
 
@@ -56,22 +56,22 @@
 
 def test_a_configuration_becomes_what_the_program_uses() -> None:
     told = configuration.parse(Fields(WHOLE, "it"))
-    assert told.agent == ("127.0.0.1", 7300) and told.gauges == ["connections", "", "cpu"]
-    assert told.facts.seed == 0x8C1F30D27A5BE964 and told.facts.meaning is Meaning.CREDIT
-    assert told.facts.groups[0].slo == 1000.0
+    assert told.agent_address == ("127.0.0.1", 7300) and told.gauges == ["connections", "", "cpu"]
+    assert told.settings.seed == 0x8C1F30D27A5BE964 and told.settings.meaning is Meaning.CREDIT
+    assert told.settings.groups[0].slo == 1000.0
 
 
 @pytest.mark.parametrize(
     ("path", "value", "message"),
     [
-        ("listen", "localhost:80", "not an IPv4 address"),
-        ("agent", "127.0.0.1:0", "no usable port"),
-        ("seed", "xyz", "not hexadecimal"),
-        ("stop_ms", 0, "not above 0"),
+        ("listen", "localhost:80", "must be an IPv4 address with a port, found 'localhost:80'"),
+        ("agent", "127.0.0.1:0", "must have a port from 1 to 65535, found '127.0.0.1:0'"),
+        ("seed", "xyz", "must be hexadecimal, found 'xyz'"),
+        ("stop_ms", 0, "must be above 0, found 0"),
         ("name", None, "lacks"),
         ("settings/categories", [], "at least one"),
         ("settings/domain/cores", "2", "not an integer"),
-        ("settings/categories", [{**GROUP, "aim": 5_000_000}], "within its deadline"),
+        ("settings/categories", [{**GROUP, "aim": 5_000_000}], "at most its category's 'deadline'"),
         ("settings/domain/downstream", "next_hop", "lacks the field 'records'"),
         ("settings/categories", [{**GROUP, "effect": "odd"}], "no known value"),
     ],
@@ -81,7 +81,7 @@
 ) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(changed(path, value)))
-    with pytest.raises(configuration.OrdersError, match=message) as caught:
+    with pytest.raises(configuration.ConfigurationError, match=message) as caught:
         configuration.read(str(file))
     assert "\n" not in str(caught.value)
 
@@ -92,7 +92,7 @@
         ("[" * 100_000, "not JSON"),
         ('{"stop_ms": NaN}', "not JSON"),
         (" " * 4_000_001, "longer than"),
-        (json.dumps(changed("stop_ms", 10**400)), "senseless"),
+        (json.dumps(changed("stop_ms", 10**400)), "invalid value"),
         (json.dumps(changed("agent", "1.2.3.\u00b2:7")), "IPv4"),
     ],
 )
@@ -101,23 +101,25 @@
 ) -> None:
     file = tmp_path / "config.json"
     file.write_text(text)
-    with pytest.raises(configuration.OrdersError, match=message):
+    with pytest.raises(configuration.ConfigurationError, match=message):
         configuration.read(str(file))
 
 
 def test_what_a_running_process_cannot_take_over_is_named() -> None:
     old = configuration.parse(Fields(WHOLE, "it"))
     new = configuration.parse(Fields(changed("seed", "ab") | {"agent": "127.0.0.1:1", "stop_ms": 5}, "it"))
-    assert old.unlike(new) == ["seed", "stop_ms"] and not old.unlike(configuration.parse(Fields(WHOLE, "it")))
+    assert old.changes_needing_restart(new) == ["seed", "stop_ms"] and not old.changes_needing_restart(
+        configuration.parse(Fields(WHOLE, "it"))
+    )
 
 
 def test_lines_that_repeat_are_counted_instead() -> None:
-    sparing, kept = Sparing(), []
+    sparing, kept = RateLimitFilter(), []
     for i in range(200):
         record = {"name": "edge", "line": 7, "message": "bad"}
         if sparing.passes(record, i * 0.1):
             kept.append(record["message"])
-    assert len(kept) == 2 * AT_MOST and f"(and {101 - AT_MOST} more like it" in kept[AT_MOST]
+    assert len(kept) == 2 * MAX_LINES and f"(and {101 - MAX_LINES} more like it" in kept[MAX_LINES]
 
 
 def free_address() -> tuple[str, int]:
