--- a/tests/test_fleet_peer_links.py
+++ b/tests/test_fleet_peer_links.py
@@ -14,8 +14,8 @@
 import pytest
 from gevent import socket
 from gevent.queue import Queue
-from test_operators import wrong
-from test_program import WHOLE, free_address
+from test_operators import mistakes_in
+from test_program import CONFIGURATION, free_address
 
 from myrtlecrank import subsystems
 from myrtlecrank.fleet.membership.messages import Ack, Ping
@@ -232,11 +232,11 @@
     tmp_path: Path, change: tuple[str, str], line: str
 ) -> None:
     assert change[0] in GOOD
-    assert wrong(tmp_path, GOOD.replace(*change)) == [line]
+    assert mistakes_in(tmp_path, GOOD.replace(*change)) == [line]
 
 
 def test_a_backend_that_is_no_member_does_not_start(tmp_path: Path) -> None:
-    (tmp_path / "config.json").write_text(json.dumps(WHOLE))
+    (tmp_path / "config.json").write_text(json.dumps(CONFIGURATION))
     (tmp_path / "operators.toml").write_text(GOOD)
     words = ["check", str(tmp_path / "config.json"), "--operators", str(tmp_path / "operators.toml")]
     command = [sys.executable, "-m", "myrtlecrank", *words]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,5 @@
-"""The operators' file: whole or not at all, with a plain line for each mistake."""
+"""The operators' file: read whole or not at all, with a plain line for each mistake; and what a change of it
+does to a running backend."""
 
 from __future__ import annotations
 
@@ -21,7 +22,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def wrong(tmp_path: Path, text: str | bytes) -> list[str]:
+def mistakes_in(tmp_path: Path, text: str | bytes) -> list[str]:
+    """The lines of the error that reading this text as the operators' file raises, without the path."""
     file = tmp_path / "operators.toml"
     file.write_bytes(text if isinstance(text, bytes) else text.encode())
     with pytest.raises(OperatorsError) as error:
@@ -31,13 +33,16 @@
 
 @pytest.mark.parametrize(
     "name",
-    ["deploy/operators.toml", *(f"deploy/examples/{p.name}" for p in (ROOT / "deploy/examples").iterdir())],
+    [
+        "deploy/operators.toml",
+        *(f"deploy/examples/{path.name}" for path in (ROOT / "deploy/examples").iterdir()),
+    ],
 )
-def test_the_files_that_are_shipped_are_read(name: str) -> None:
+def test_the_shipped_files_are_valid(name: str) -> None:
     assert subsystems.load(str(ROOT / name)).repeats is not None
 
 
-def test_the_shipped_file_says_what_is_used_without_it() -> None:
+def test_the_shipped_file_has_the_defaults() -> None:
     shipped = subsystems.load(str(ROOT / "deploy/operators.toml"))
     assert shipped.repeats == Bounds()
     assert shipped.accepting == Accepting()
@@ -45,11 +50,13 @@
 
 def test_an_unknown_key_names_the_nearest_known_one(tmp_path: Path) -> None:
     line = "[repeats] storm_form: unknown; is 'storm_from' meant?"
-    assert wrong(tmp_path, "[repeats]\nstorm_form = 0.3\n") == [line]
+    assert mistakes_in(tmp_path, "[repeats]\nstorm_form = 0.3\n") == [line]
 
 
 def test_an_unknown_section_names_the_nearest_known_one(tmp_path: Path) -> None:
-    assert wrong(tmp_path, "[repeat]\non = true\n") == ["[repeat]: unknown section; is 'repeats' meant?"]
+    assert mistakes_in(tmp_path, "[repeat]\non = true\n") == [
+        "[repeat]: unknown section; is 'repeats' meant?"
+    ]
 
 
 @pytest.mark.parametrize(
@@ -63,38 +70,38 @@
         ("callers = true", "[repeats] callers: is True; allowed: a whole number from 8 to 4096"),
     ],
 )
-def test_a_value_is_told_with_what_is_allowed(tmp_path: Path, entry: str, line: str) -> None:
-    assert wrong(tmp_path, f"[repeats]\n{entry}\n") == [line]
+def test_an_invalid_value_is_reported_with_the_allowed_ones(tmp_path: Path, entry: str, line: str) -> None:
+    assert mistakes_in(tmp_path, f"[repeats]\n{entry}\n") == [line]
 
 
-def test_all_mistakes_are_told_at_once(tmp_path: Path) -> None:
-    assert len(wrong(tmp_path, "[repeats]\nstorm_from = 9\nbegins = 1\n[cels]\non = true\n")) == 3
+def test_all_mistakes_are_reported_at_once(tmp_path: Path) -> None:
+    assert len(mistakes_in(tmp_path, "[repeats]\nstorm_from = 9\nbegins = 1\n[cels]\non = true\n")) == 3
 
 
-def test_what_is_legal_alone_and_senseless_together_is_told(tmp_path: Path) -> None:
-    lines = wrong(tmp_path, "[repeats]\nstorm_from = 0.2\nstorm_until = 0.2\n")
+def test_values_that_contradict_each_other_are_reported(tmp_path: Path) -> None:
+    lines = mistakes_in(tmp_path, "[repeats]\nstorm_from = 0.2\nstorm_until = 0.2\n")
     assert len(lines) == 1 and "storm_until" in lines[0] and "not below storm_from" in lines[0]
 
 
 @pytest.mark.parametrize(
     "text", [b"\xff\xfe", b"on = ", b"[repeats]\non = true\non = false\n", b"x = " + b"[" * 9999]
 )
-def test_what_is_no_toml_is_one_line(tmp_path: Path, text: bytes) -> None:
-    lines = wrong(tmp_path, text)
+def test_text_that_is_not_toml_is_reported_in_one_line(tmp_path: Path, text: bytes) -> None:
+    lines = mistakes_in(tmp_path, text)
     assert len(lines) == 1 and lines[0].startswith("is not TOML")
 
 
 def test_a_file_too_long_is_not_read(tmp_path: Path) -> None:
-    assert "longer than" in wrong(tmp_path, b"#" * (MAX_FILE_BYTES + 1))[0]
+    assert "longer than" in mistakes_in(tmp_path, b"#" * (MAX_FILE_BYTES + 1))[0]
 
 
-def test_windows_line_ends_and_a_mark_at_the_beginning_do_no_harm(tmp_path: Path) -> None:
+def test_windows_line_ends_and_a_byte_order_mark_are_accepted(tmp_path: Path) -> None:
     file = tmp_path / "o.toml"
     file.write_bytes(b"\xef\xbb\xbf[repeats]\r\nend_ms = 100\r\n")
     assert subsystems.load(str(file)).repeats == Bounds(end_ms=100.0)
 
 
-def test_a_section_that_is_off_and_one_left_out_are_the_same(tmp_path: Path) -> None:
+def test_a_section_that_is_off_equals_one_that_is_left_out(tmp_path: Path) -> None:
     off, empty = tmp_path / "off.toml", tmp_path / "empty.toml"
     off.write_text("[repeats]\non = false\n")
     empty.write_text("")
@@ -103,7 +110,7 @@
     assert subsystems.load(str(off)).changed_sections(shipped) == ["repeats", "accepting"]
 
 
-def test_a_file_that_is_named_and_missing_is_an_error_and_none_at_all_is_not(
+def test_a_named_file_that_is_missing_is_an_error_and_having_no_file_is_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -113,7 +120,7 @@
         subsystems.load()
 
 
-def test_check_tells_each_mistake_in_a_line_and_ends_with_2(tmp_path: Path) -> None:
+def test_check_prints_a_line_for_each_mistake_and_exits_with_2(tmp_path: Path) -> None:
     file = tmp_path / "o.toml"
     file.write_text("[repeats]\nstorm_from = 9\nbegins = 1\n")
     result = CliRunner().invoke(
@@ -123,8 +130,7 @@
     assert len(result.output.splitlines()) == 2
 
 
-def stormy() -> Play:
-    """A backend in the middle of a storm."""
+def backend_in_retry_storm() -> Play:
     play = Play(group(timeout=2500.0))
     play.turn(0.0, Adopt(Bounds(least_arrivals=1, begin_ms=0.0)))
     assert play.core.repeats is not None
@@ -132,34 +138,34 @@
     return play
 
 
-def test_bounds_that_change_in_a_storm_keep_what_was_learned() -> None:
-    play = stormy()
+def test_options_that_change_in_a_retry_storm_keep_the_estimate() -> None:
+    play = backend_in_retry_storm()
     before = play.core.repeats
     play.turn(10.0, Adopt(Bounds(least_arrivals=1, digests=128)))
     assert play.core.repeats is before and before is not None and before.storm
     assert before.given.most == 128
 
 
-def test_turned_off_in_the_middle_of_a_storm_it_ends_and_every_exchange_is_answered() -> None:
-    play = stormy()
+def test_turning_the_section_off_ends_a_retry_storm_and_every_exchange_is_answered() -> None:
+    play = backend_in_retry_storm()
     assert play.core.controller is not None
     play.core.controller.storm = True
-    for i in range(40):
-        play.ask(f"{i:016x}", 1.0, caller=i, wait=2500.0)
+    for caller in range(40):
+        play.ask(f"{caller:016x}", 1.0, caller=caller, wait=2500.0)
     play.turn(10.0, Adopt(None))
-    for at in range(1, 40):
-        play.turn(at * 100.0)
-        play.core.controller.alarm("beat", Gauges(1.0, 6.0, 0.1, 1.0), at * 100.0)
+    for now in range(100, 4000, 100):
+        play.turn(float(now))
+        play.core.controller.alarm("beat", Gauges(1.0, 6.0, 0.1, 1.0), float(now))
     assert play.core.repeats is None
     assert not play.core.controller.storm
-    assert len(play.answers) == len({a.ticket.ident for a in play.answers}) == 40
+    assert len(play.answers) == len({answer.ticket.ident for answer in play.answers}) == 40
 
 
-def test_a_storm_makes_a_line_when_it_begins_one_a_minute_and_one_when_it_ends() -> None:
+def test_a_retry_storm_is_logged_when_it_begins_each_minute_and_when_it_ends() -> None:
     report, lines = Report(), list[str]()
-    for at in range(0, 200_000, 100):
-        tide = Tide(0.5, 10_000 <= at < 150_000, 3)
-        lines += report.lines(tide, 1.25, float(at))
+    for now in range(0, 200_000, 100):
+        tide = Tide(0.5, 10_000 <= now < 150_000, 3)
+        lines += report.lines(tide, 1.25, float(now))
     assert [line.split(":")[0] for line in lines[:3]] == [
         "a storm of repeats begins",
         "the storm of repeats goes on for 60 s",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a whole: configurations, start, log, drain and exit codes, in processes of their own."""
+"""The program as a whole: configuration, start, log, drain and exit codes. Most tests start a process."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from myrtlecrank.policy.interface import Meaning
 from myrtlecrank.settings import Fields
 
-GROUP = {"name": "group", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000}
-WHOLE = {
+CATEGORY = {"name": "group", "effect": "read_like", "aim": 1_000_000, "deadline": 4_000_000}
+CONFIGURATION = {
     "name": "n3",
     "listen": "127.0.0.1:8080",
     "agent": "127.0.0.1:7300",
@@ -31,7 +31,7 @@
     "stop_ms": 3200,
     "limits": {"sockets": 1024},
     "settings": {
-        "categories": [GROUP],
+        "categories": [CATEGORY],
         "domain": {
             "cores": 2,
             "memoryKb": 1000.0,
@@ -44,21 +44,22 @@
 }
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    told = copy.deepcopy(WHOLE)
-    *above, last = path.split("/")
-    inner: Any = told
-    for key in above:
+def configuration_with(path: str, value: Any) -> dict[str, Any]:
+    """The usual configuration with another value at `path`, keys separated by slashes."""
+    values = copy.deepcopy(CONFIGURATION)
+    *parents, last = path.split("/")
+    inner: Any = values
+    for key in parents:
         inner = inner[key]
     inner[last] = value
-    return told
+    return values
 
 
-def test_a_configuration_becomes_what_the_program_uses() -> None:
-    told = configuration.parse(Fields(WHOLE, "it"))
-    assert told.agent_address == ("127.0.0.1", 7300) and told.gauges == ["connections", "", "cpu"]
-    assert told.settings.seed == 0x8C1F30D27A5BE964 and told.settings.meaning is Meaning.CREDIT
-    assert told.settings.groups[0].slo == 1000.0
+def test_a_valid_configuration_is_parsed() -> None:
+    parsed = configuration.parse(Fields(CONFIGURATION, "it"))
+    assert parsed.agent_address == ("127.0.0.1", 7300) and parsed.gauges == ["connections", "", "cpu"]
+    assert parsed.settings.seed == 0x8C1F30D27A5BE964 and parsed.settings.meaning is Meaning.CREDIT
+    assert parsed.settings.groups[0].slo == 1000.0
 
 
 @pytest.mark.parametrize(
@@ -71,16 +72,16 @@
         ("name", None, "lacks"),
         ("settings/categories", [], "at least one"),
         ("settings/domain/cores", "2", "not an integer"),
-        ("settings/categories", [{**GROUP, "aim": 5_000_000}], "at most its category's 'deadline'"),
+        ("settings/categories", [{**CATEGORY, "aim": 5_000_000}], "at most its category's 'deadline'"),
         ("settings/domain/downstream", "next_hop", "lacks the field 'records'"),
-        ("settings/categories", [{**GROUP, "effect": "odd"}], "no known value"),
+        ("settings/categories", [{**CATEGORY, "effect": "odd"}], "no known value"),
     ],
 )
-def test_a_senseless_configuration_is_one_plain_line(
+def test_an_invalid_value_raises_an_error_of_one_line(
     path: str, value: Any, message: str, tmp_path: Path
 ) -> None:
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(changed(path, value)))
+    file.write_text(json.dumps(configuration_with(path, value)))
     with pytest.raises(configuration.ConfigurationError, match=message) as caught:
         configuration.read(str(file))
     assert "\n" not in str(caught.value)
@@ -92,49 +93,50 @@
         ("[" * 100_000, "not JSON"),
         ('{"stop_ms": NaN}', "not JSON"),
         (" " * 4_000_001, "longer than"),
-        (json.dumps(changed("stop_ms", 10**400)), "invalid value"),
-        (json.dumps(changed("agent", "1.2.3.\u00b2:7")), "IPv4"),
+        (json.dumps(configuration_with("stop_ms", 10**400)), "invalid value"),
+        (json.dumps(configuration_with("agent", "1.2.3.\u00b2:7")), "IPv4"),
     ],
 )
-def test_whatever_a_file_holds_reading_it_fails_with_one_line(
-    text: str, message: str, tmp_path: Path
-) -> None:
+def test_a_file_of_any_content_raises_a_configuration_error(text: str, message: str, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(text)
     with pytest.raises(configuration.ConfigurationError, match=message):
         configuration.read(str(file))
 
 
-def test_what_a_running_process_cannot_take_over_is_named() -> None:
-    old = configuration.parse(Fields(WHOLE, "it"))
-    new = configuration.parse(Fields(changed("seed", "ab") | {"agent": "127.0.0.1:1", "stop_ms": 5}, "it"))
-    assert old.changes_needing_restart(new) == ["seed", "stop_ms"] and not old.changes_needing_restart(
-        configuration.parse(Fields(WHOLE, "it"))
-    )
+def test_keys_that_only_a_restart_applies_are_listed() -> None:
+    old = configuration.parse(Fields(CONFIGURATION, "it"))
+    changed_values = configuration_with("seed", "ab") | {"agent": "127.0.0.1:1", "stop_ms": 5}
+    new = configuration.parse(Fields(changed_values, "it"))
+    assert old.changes_needing_restart(new) == ["seed", "stop_ms"]
+    unchanged = configuration.parse(Fields(CONFIGURATION, "it"))
+    assert not old.changes_needing_restart(unchanged)
 
 
-def test_lines_that_repeat_are_counted_instead() -> None:
-    sparing, kept = RateLimitFilter(), []
+def test_lines_over_the_limit_are_counted_in_the_next_window() -> None:
+    rate_limit_filter = RateLimitFilter()
+    written: list[str] = []
     for i in range(200):
-        record = {"name": "edge", "line": 7, "message": "bad"}
-        if sparing.passes(record, i * 0.1):
-            kept.append(record["message"])
-    assert len(kept) == 2 * MAX_LINES and f"(and {101 - MAX_LINES} more like it" in kept[MAX_LINES]
+        record: dict[str, Any] = {"name": "edge", "line": 7, "message": "bad"}
+        if rate_limit_filter.passes(record, i * 0.1):
+            written.append(record["message"])
+    assert len(written) == 2 * MAX_LINES
+    assert f"(and {101 - MAX_LINES} more like it" in written[MAX_LINES]
 
 
 def free_address() -> tuple[str, int]:
-    """On a loopback address that no outgoing connection takes its port from."""
+    """A free port on a loopback address that no outgoing connection takes its local port from."""
     with socket.socket() as free:
         free.bind(("127.83.7.1", 0))
         host, port = free.getsockname()
         return host, port
 
 
-def start(tmp_path: Path, told: Any, *words: str) -> Any:
+def start_program(tmp_path: Path, config: Any, *arguments: str) -> Any:
     file = tmp_path / "config.json"
-    file.write_text(told if isinstance(told, str) else json.dumps(told))
+    file.write_text(config if isinstance(config, str) else json.dumps(config))
     return subprocess.Popen(
-        [sys.executable, "-m", "myrtlecrank", *words],
+        [sys.executable, "-m", "myrtlecrank", *arguments],
         env={**os.environ, "PROXY_CONFIG": str(file)},
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
@@ -142,60 +144,64 @@
     )
 
 
-@pytest.mark.parametrize("told", ["{", json.dumps(changed("listen", 5))])
-def test_a_bad_configuration_ends_the_start(tmp_path: Path, told: str) -> None:
-    out, err = (process := start(tmp_path, told, "serve")).communicate(timeout=60)
+@pytest.mark.parametrize("text", ["{", json.dumps(configuration_with("listen", 5))])
+def test_an_invalid_configuration_ends_the_start(tmp_path: Path, text: str) -> None:
+    process = start_program(tmp_path, text, "serve")
+    out, err = process.communicate(timeout=60)
     assert process.returncode == 2 and not out and err.startswith("myrtlecrank: ") and err.count("\n") == 1
 
 
 def test_an_address_in_use_ends_the_start(tmp_path: Path) -> None:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        told = changed("listen", f"127.0.0.1:{taken.getsockname()[1]}")
-        _, err = (process := start(tmp_path, told, "serve")).communicate(timeout=60)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        config = configuration_with("listen", f"127.0.0.1:{listener.getsockname()[1]}")
+        process = start_program(tmp_path, config, "serve")
+        _, err = process.communicate(timeout=60)
     assert process.returncode == 1 and "cannot listen" in err and err.count("\n") == 1
 
 
-def surroundings() -> tuple[socket.socket, socket.socket, tuple[str, int], dict[str, Any]]:
-    """Listeners in the place of agent and list, a free address, and a configuration that names them."""
-    agent, roll = socket.socket(), socket.socket()
-    for listener in (agent, roll):
+def platform_listeners() -> tuple[socket.socket, socket.socket, tuple[str, int], dict[str, Any]]:
+    """Listeners that stand in for the agent and the membership list, a free address to listen on, and a
+    configuration with all three."""
+    agent, membership_list = socket.socket(), socket.socket()
+    for listener in (agent, membership_list):
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         listener.settimeout(60)
     address = free_address()
-    told = copy.deepcopy(WHOLE) | {"listen": f"{address[0]}:{address[1]}"}
-    told["agent"], told["members"] = (f"127.0.0.1:{s.getsockname()[1]}" for s in (agent, roll))
-    return agent, roll, address, told
+    config = copy.deepcopy(CONFIGURATION) | {"listen": f"{address[0]}:{address[1]}"}
+    config["agent"] = f"127.0.0.1:{agent.getsockname()[1]}"
+    config["members"] = f"127.0.0.1:{membership_list.getsockname()[1]}"
+    return agent, membership_list, address, config
 
 
-def test_a_whole_exchange_and_a_whole_drain(tmp_path: Path) -> None:
-    """One process between stand-ins of its own: start, one answer, notice to leave, exit with 0."""
-    agent, roll, address, told = surroundings()
-    process = start(tmp_path, told, "serve")
+def test_an_exchange_is_answered_and_the_backend_drains(tmp_path: Path) -> None:
+    """Start, one answer, SIGTERM (twice) and exit with 0, with stand-ins for the agent and the list."""
+    agent, membership_list, address, config = platform_listeners()
+    process = start_program(tmp_path, config, "serve")
     try:
-        link = agent.accept()[0]
-        link.settimeout(30)
-        assert link.recv(100) == b"subscribe 0\r\n"
-        link.sendall(b"greeting LOADED 9000\r\n")
-        reports = roll.accept()[0]
+        agent_connection = agent.accept()[0]
+        agent_connection.settimeout(30)
+        assert agent_connection.recv(100) == b"subscribe 0\r\n"
+        agent_connection.sendall(b"greeting LOADED 9000\r\n")
+        reports = membership_list.accept()[0]
         assert b'{"phase":"UP"}' in reports.recv(4096)
         reports.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         caller = socket.create_connection(address)
         caller.sendall(ask_bytes(1, s=str(int(time.time() * 1000)), d="8000"))
-        heard = b""
-        while b"launch" not in heard:
-            heard += link.recv(4096)
-        assert b"launch 0000000000000001 group 4\r\nbody\r\n" in heard
-        link.sendall(b"outcome 1 0000000000000001 PASS 5 2\r\nok\r\n")
+        commands = b""
+        while b"launch" not in commands:
+            commands += agent_connection.recv(4096)
+        assert b"launch 0000000000000001 group 4\r\nbody\r\n" in commands
+        agent_connection.sendall(b"outcome 1 0000000000000001 PASS 5 2\r\nok\r\n")
         assert caller.recv(100).endswith(b"ok")
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
-        said = reports.recv(4096)
-        while b'{"phase":"OUT"}' not in said:
+        report = reports.recv(4096)
+        while b'{"phase":"OUT"}' not in report:
             reports.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-            said = reports.recv(4096)
+            report = reports.recv(4096)
         reports.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         assert caller.recv(100)[4] == 30
         caller.close()
@@ -205,70 +211,72 @@
         process.kill()
 
 
-def listening() -> Any:
-    made = socket.socket()
-    made.bind(("127.0.0.1", 0))
-    made.listen()
-    made.settimeout(30)
-    return made
+def listening_socket() -> Any:
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen()
+    listener.settimeout(30)
+    return listener
 
 
-def until(sock: Any, wanted: bytes) -> bytes:
+def receive_until(sock: Any, expected: bytes) -> bytes:
+    """Reads until `expected` has come; fails at the end of the stream."""
     sock.settimeout(30)
-    heard = b""
-    while wanted not in heard:
+    received = b""
+    while expected not in received:
         piece = sock.recv(4096)
-        assert piece, heard
-        heard += piece
-    return heard
+        assert piece, received
+        received += piece
+    return received
 
 
-def test_a_new_configuration_moves_link_and_reports_and_runs_go_on(tmp_path: Path) -> None:
-    """SIGHUP before the greeting, twice under a run, with a broken file between, and while draining."""
-    agents, lists = [listening() for _ in range(4)], [listening() for _ in range(4)]
+def test_a_reload_changes_the_addresses_of_agent_and_list_and_runs_go_on(tmp_path: Path) -> None:
+    """SIGHUP before the agent's greeting, during a run (with invalid files too), and during the drain."""
+    agents = [listening_socket() for _ in range(4)]
+    lists = [listening_socket() for _ in range(4)]
     address = free_address()
     file = tmp_path / "config.json"
 
-    def told(number: int) -> dict[str, Any]:
-        places = {"agent": agents[number], "members": lists[number]}
-        fixed = copy.deepcopy(WHOLE) | {"listen": f"{address[0]}:{address[1]}", "stop_ms": 20_000}
-        return fixed | {k: f"127.0.0.1:{s.getsockname()[1]}" for k, s in places.items()}
+    def config_with_listeners(number: int) -> dict[str, Any]:
+        listeners = {"agent": agents[number], "members": lists[number]}
+        fixed = copy.deepcopy(CONFIGURATION) | {"listen": f"{address[0]}:{address[1]}", "stop_ms": 20_000}
+        return fixed | {key: f"127.0.0.1:{listener.getsockname()[1]}" for key, listener in listeners.items()}
 
-    process = start(tmp_path, told(0), "serve")
+    process = start_program(tmp_path, config_with_listeners(0), "serve")
 
-    def hang_up(text: str) -> None:
+    def reload_with(text: str) -> None:
         file.write_text(text)
         process.send_signal(signal.SIGHUP)
 
     try:
         first = agents[0].accept()[0]
-        until(first, b"subscribe 0\r\n")
-        hang_up(json.dumps(told(1)))
-        link = agents[1].accept()[0]
-        until(link, b"subscribe 0\r\n")
+        receive_until(first, b"subscribe 0\r\n")
+        reload_with(json.dumps(config_with_listeners(1)))
+        agent_connection = agents[1].accept()[0]
+        receive_until(agent_connection, b"subscribe 0\r\n")
         assert first.recv(100) == b""
-        link.sendall(b"greeting LOADED 9000\r\n")
-        until(lists[1].accept()[0], b'{"phase":"UP"}')
+        agent_connection.sendall(b"greeting LOADED 9000\r\n")
+        receive_until(lists[1].accept()[0], b'{"phase":"UP"}')
         caller = socket.create_connection(address)
         caller.sendall(ask_bytes(1, s=str(int(time.time() * 1000)), d="8000"))
-        until(link, b"launch")
-        link.sendall(b"aside 7 hello\r\n")
-        for text in ("{", json.dumps(told(3) | {"name": "n4"}), ""):
-            hang_up(text)
+        receive_until(agent_connection, b"launch")
+        agent_connection.sendall(b"aside 7 hello\r\n")
+        for text in ("{", json.dumps(config_with_listeners(3) | {"name": "n4"}), ""):
+            reload_with(text)
             time.sleep(0.1)
-        hang_up(json.dumps(told(2) | {"seed": "ab"}))
+        reload_with(json.dumps(config_with_listeners(2) | {"seed": "ab"}))
         moved = agents[2].accept()[0]
-        until(moved, b"subscribe 7\r\n")
+        receive_until(moved, b"subscribe 7\r\n")
         moved.sendall(b"greeting LOADED 9500\r\noutcome 8 0000000000000001 PASS 5 2\r\nok\r\n")
         assert caller.recv(100).endswith(b"ok")
-        until(lists[2].accept()[0], b'{"phase":"UP"}')
+        receive_until(lists[2].accept()[0], b'{"phase":"UP"}')
         process.send_signal(signal.SIGTERM)
         assert caller.recv(100)[4] == 30
-        hang_up(json.dumps(told(3)))
-        until(agents[3].accept()[0], b"subscribe 8\r\n")
-        roll = lists[3].accept()[0]
-        until(roll, b'{"phase":"OUT"}')
-        roll.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
+        reload_with(json.dumps(config_with_listeners(3)))
+        receive_until(agents[3].accept()[0], b"subscribe 8\r\n")
+        reports = lists[3].accept()[0]
+        receive_until(reports, b'{"phase":"OUT"}')
+        reports.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         caller.close()
         _, err = process.communicate(timeout=60)
         assert process.returncode == 0 and "Traceback" not in err
@@ -277,10 +285,12 @@
         process.kill()
 
 
-def outcome(tmp_path: Path, text: str) -> subprocess.CompletedProcess[str]:
-    """Of a whole program of its own, started by `text`, that is to end by itself."""
+def run_to_end(tmp_path: Path, text: str) -> subprocess.CompletedProcess[str]:
+    """Runs `text`, a Python program that starts a backend and is to end by itself."""
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(changed("listen", "{}:{}".format(*free_address())) | {"stop_ms": 300}))
+    file.write_text(
+        json.dumps(configuration_with("listen", "{}:{}".format(*free_address())) | {"stop_ms": 300})
+    )
     return subprocess.run(
         [sys.executable, "-c", text],
         env={**os.environ, "PROXY_CONFIG": str(file)},
@@ -290,7 +300,7 @@
     )
 
 
-def test_a_signal_that_comes_before_the_start_waits_for_it(tmp_path: Path) -> None:
+def test_a_signal_that_arrives_before_the_start_stays_pending(tmp_path: Path) -> None:
     text = (
         "import os, signal\nfrom myrtlecrank import configuration\nread = configuration.read\n"
         "def slow(file):\n"
@@ -299,12 +309,12 @@
         "configuration.read = slow\n"
         "from myrtlecrank.cli import main; main(['serve'])"
     )
-    done = outcome(tmp_path, text)
+    done = run_to_end(tmp_path, text)
     assert done.returncode == 0 and "notice to leave" in done.stderr
 
 
-def test_a_signal_that_comes_while_the_program_is_loaded_waits_for_its_start(tmp_path: Path) -> None:
-    """It comes at the first import of a library, long before there is a configuration."""
+def test_a_signal_that_arrives_while_the_program_is_loaded_stays_pending(tmp_path: Path) -> None:
+    """It arrives at the first import of a library, long before the configuration is read."""
     text = (
         "import os, runpy, signal, sys\n"
         "class Signals:\n"
@@ -316,11 +326,11 @@
         "sys.argv = ['myrtlecrank', 'serve']\n"
         "runpy.run_module('myrtlecrank', run_name='__main__')"
     )
-    done = outcome(tmp_path, text)
+    done = run_to_end(tmp_path, text)
     assert done.returncode == 0 and "notice to leave" in done.stderr
 
 
-def test_an_error_in_an_actor_ends_the_process_with_its_trace(tmp_path: Path) -> None:
+def test_an_error_in_an_actor_ends_the_process_with_its_traceback(tmp_path: Path) -> None:
     text = (
         "import myrtlecrank.core.actor as a\n"
         "def broken(*_): raise RuntimeError('boom')\n"
@@ -328,25 +338,27 @@
         "a.Core.run = lambda core: core.turn([], 0.0)\n"
         "from myrtlecrank.cli import main; main(['serve'])"
     )
-    done = outcome(tmp_path, text)
+    done = run_to_end(tmp_path, text)
     assert done.returncode == 70 and "RuntimeError: boom" in done.stderr
 
 
-def test_the_operators_file_is_taken_over_on_sighup_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_the_operators_file_is_applied_on_sighup_whole_or_not_at_all(tmp_path: Path) -> None:
     config, operators = tmp_path / "config.json", tmp_path / "operators.toml"
-    config.write_text(json.dumps(changed("listen", "{}:{}".format(*free_address())) | {"stop_ms": 300}))
+    config.write_text(
+        json.dumps(configuration_with("listen", "{}:{}".format(*free_address())) | {"stop_ms": 300})
+    )
     operators.write_text("[repeats]\non = true\n")
     command = [sys.executable, "-m", "myrtlecrank", "serve", str(config), "--operators", str(operators)]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
     assert process.stderr is not None
 
-    def heard(text: str) -> bool:
-        """Reads the log up to a line with the text; False at its end."""
+    def logs(text: str) -> bool:
+        """Reads the log up to a line with the text; False if it ends before."""
         assert process.stderr is not None
         return any(text in line for line in process.stderr)
 
     try:
-        assert heard("on are repeats")
+        assert logs("on are repeats")
         for written, line in (
             ("[repeats]\non = false\n[accepting]\non = true\n", "changed are repeats, accepting"),
             ("[repeats]\nstorm_form = 0.3\n", "the old operators' file goes on"),
@@ -354,9 +366,9 @@
         ):
             operators.write_text(written)
             process.send_signal(signal.SIGHUP)
-            assert heard(line)
+            assert logs(line)
         process.send_signal(signal.SIGTERM)
-        assert heard("leaves with 0 exchanges")
+        assert logs("leaves with 0 exchanges")
         assert process.wait(20) == 0
     finally:
         process.kill()
@@ -364,34 +376,34 @@
         process.wait()
 
 
-def test_each_read_gets_what_was_made_for_it_alone_though_the_settings_allow_to_share(tmp_path: Path) -> None:
-    """The second on the same subject comes while the first runs, the third right after its end."""
-    agent, roll, address, told = surroundings()
-    told["settings"]["domain"] |= {"shareFor": 60_000_000}
-    process = start(tmp_path, told | {"stop_ms": 300}, "serve")
+def test_each_read_gets_its_own_result_though_the_settings_allow_sharing(tmp_path: Path) -> None:
+    """The second read on the same subject arrives while the first runs, the third right after it ended."""
+    agent, membership_list, address, config = platform_listeners()
+    config["settings"]["domain"] |= {"shareFor": 60_000_000}
+    process = start_program(tmp_path, config | {"stop_ms": 300}, "serve")
     try:
-        link = agent.accept()[0]
-        until(link, b"subscribe 0\r\n")
-        link.sendall(b"greeting LOADED 9000\r\n")
-        until(roll.accept()[0], b'{"phase":"UP"}')
+        agent_connection = agent.accept()[0]
+        receive_until(agent_connection, b"subscribe 0\r\n")
+        agent_connection.sendall(b"greeting LOADED 9000\r\n")
+        receive_until(membership_list.accept()[0], b'{"phase":"UP"}')
         caller = socket.create_connection(address)
         caller.settimeout(30)
 
-        def ask(stream: int) -> None:
+        def send_read(stream: int) -> None:
             body = b"body %d" % stream
             caller.sendall(ask_bytes(stream, body, s=str(int(time.time() * 1000)), d="8000", o="subject"))
-            assert until(link, body).count(b"launch %016x group 6" % stream) == 1
-
-        def end(number: int, stream: int) -> None:
-            link.sendall(b"outcome %d %016x PASS 5 2\r\nr%d\r\n" % (number, stream, stream))
-            assert until(caller, b"r%d" % stream)[5:9] == stream.to_bytes(4, "little")
-
-        ask(1)
-        ask(2)
-        end(1, 2)
-        end(2, 1)
-        ask(3)
-        end(3, 3)
+            assert receive_until(agent_connection, body).count(b"launch %016x group 6" % stream) == 1
+
+        def end_run(number: int, stream: int) -> None:
+            agent_connection.sendall(b"outcome %d %016x PASS 5 2\r\nr%d\r\n" % (number, stream, stream))
+            assert receive_until(caller, b"r%d" % stream)[5:9] == stream.to_bytes(4, "little")
+
+        send_read(1)
+        send_read(2)
+        end_run(1, 2)
+        end_run(2, 1)
+        send_read(3)
+        end_run(3, 3)
         process.send_signal(signal.SIGTERM)
         assert process.wait(30) == 0
     finally:
@@ -399,32 +411,33 @@
         process.communicate()
 
 
-def test_a_site_with_a_layer_below_starts_and_its_calls_are_made(tmp_path: Path) -> None:
-    """One process: a run comes to its call, the layer moves on SIGHUP, what it brings goes to the run."""
-    agent, roll, address, told = surroundings()
-    layers = [listening(), listening()]
-    told["settings"]["domain"] |= {"downstream": "next_hop", "callsByClass": [True]}
-    told["stop_ms"] = 1000
-    places = [f"127.0.0.1:{s.getsockname()[1]}" for s in layers]
-    process = start(tmp_path, told | {"records": places[0]}, "serve")
+def test_calls_to_a_dependency_are_made_and_its_address_changes_on_reload(tmp_path: Path) -> None:
+    """A run requests a call, the dependency answers, and its answer goes to the run; then SIGHUP changes the
+    dependency's address and a second run's call goes to the new one."""
+    agent, membership_list, address, config = platform_listeners()
+    dependencies = [listening_socket(), listening_socket()]
+    config["settings"]["domain"] |= {"downstream": "next_hop", "callsByClass": [True]}
+    config["stop_ms"] = 1000
+    addresses = [f"127.0.0.1:{listener.getsockname()[1]}" for listener in dependencies]
+    process = start_program(tmp_path, config | {"records": addresses[0]}, "serve")
     try:
-        link = agent.accept()[0]
-        until(link, b"subscribe 0\r\n")
-        link.sendall(b"greeting LOADED 9000\r\n")
-        until(roll.accept()[0], b'{"phase":"UP"}')
+        agent_connection = agent.accept()[0]
+        receive_until(agent_connection, b"subscribe 0\r\n")
+        agent_connection.sendall(b"greeting LOADED 9000\r\n")
+        receive_until(membership_list.accept()[0], b'{"phase":"UP"}')
         caller = socket.create_connection(address)
-        for stream, layer in enumerate(layers, 1):
-            ident = b"%016x" % stream
+        for stream, dependency in enumerate(dependencies, 1):
+            exchange_id = b"%016x" % stream
             caller.sendall(ask_bytes(stream, s=str(int(time.time() * 1000)), d="8000"))
-            until(link, b"launch " + ident)
-            link.sendall(b"request %d %b 12\r\nout\r\noutcome\r\n" % (2 * stream, ident))
-            below = layer.accept()[0]
-            assert until(below, b"outcome\r\n").startswith(b"OP " + ident)
-            below.sendall(ident + b" DONE 3\r\nr\r\n\r\n")
-            until(link, b"deliver %b 3\r\nr\r\n\r\n" % ident)
-            link.sendall(b"outcome %d %b PASS 5 2\r\nok\r\n" % (2 * stream + 1, ident))
+            receive_until(agent_connection, b"launch " + exchange_id)
+            agent_connection.sendall(b"request %d %b 12\r\nout\r\noutcome\r\n" % (2 * stream, exchange_id))
+            dependency_connection = dependency.accept()[0]
+            assert receive_until(dependency_connection, b"outcome\r\n").startswith(b"OP " + exchange_id)
+            dependency_connection.sendall(exchange_id + b" DONE 3\r\nr\r\n\r\n")
+            receive_until(agent_connection, b"deliver %b 3\r\nr\r\n\r\n" % exchange_id)
+            agent_connection.sendall(b"outcome %d %b PASS 5 2\r\nok\r\n" % (2 * stream + 1, exchange_id))
             assert caller.recv(100).endswith(b"ok")
-            (tmp_path / "config.json").write_text(json.dumps(told | {"records": places[1]}))
+            (tmp_path / "config.json").write_text(json.dumps(config | {"records": addresses[1]}))
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             while "layer below" not in process.stderr.readline():
