--- a/myrtlecrank/serve.py
+++ b/myrtlecrank/serve.py
@@ -5,6 +5,8 @@
 import gc
 import signal
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import gevent
 from gevent.event import Event as Flag
@@ -22,6 +24,9 @@
 from myrtlecrank.signals import SIGNALS
 from myrtlecrank.subsystems import SECTIONS, OperatorOptions
 
+if TYPE_CHECKING:
+    from myrtlecrank.fleet.actor import FleetActor
+
 EXIT_INTERNAL_ERROR = 70  # EX_SOFTWARE of sysexits.h
 DRAIN_POLL_S = 0.02
 EXIT_MARGIN_MS = 60.0  # the process exits this long before the platform would kill it
@@ -32,6 +37,98 @@
 DEPENDENCY_SILENCE_SLO_SHARE = 0.5  # of the shortest SLO time: how long the dependency may stay silent
 
 
+@dataclass(frozen=True, slots=True)
+class _Actors:
+    core: Core
+    agent: Link
+    membership_list: Roll
+    dependency: BelowLink | None
+    edge: Front
+    fleet: FleetActor | None
+
+
+class _Reloader:
+    """Reads the configuration and the operators' file again on SIGHUP, and applies what may change in a
+    running process."""
+
+    def __init__(
+        self,
+        configuration: Configuration,
+        operator_options: OperatorOptions,
+        read_configuration: Callable[[], Configuration],
+        load_operator_options: Callable[[], OperatorOptions],
+        actors: _Actors,
+    ) -> None:
+        self.configuration = configuration  # as it was at the start
+        self.operator_options = operator_options  # as they were last applied
+        self.read_configuration = read_configuration
+        self.load_operator_options = load_operator_options
+        self.actors = actors
+
+    def reload(self) -> None:
+        self._reload_configuration()
+        self._reload_operator_options()
+
+    def _reload_configuration(self) -> None:
+        """Applies new addresses of the agent, the membership list and the dependency; every other setting
+        stays as it was at the start."""
+        try:
+            new = self.read_configuration()
+        except ConfigurationError as error:
+            logger.error("the old configuration goes on: {}", error)
+            return
+        if new.name != self.configuration.name:
+            logger.error(
+                "the old configuration goes on: the new one is for {!r}", new.name[:MAX_LOGGED_NAME_CHARS]
+            )
+            return
+        ignored = self.configuration.changes_needing_restart(new)
+        if ignored:
+            logger.warning(
+                "these take a new start and stay as they were: {}", ", ".join(ignored)[:MAX_LOGGED_KEYS_CHARS]
+            )
+        logger.info(
+            "configuration read: agent {}:{}, list {}:{}", *new.agent_address, *new.membership_list_address
+        )
+        if self.actors.dependency is not None and new.dependency_address is not None:
+            logger.info("configuration read: layer below {}:{}", *new.dependency_address)
+            self.actors.dependency.move(new.dependency_address)
+        self.actors.agent.move(new.agent_address)
+        self.actors.membership_list.move(new.membership_list_address)
+
+    def _reload_operator_options(self) -> None:
+        """Applies the operators' file whole, or not at all where it has a mistake."""
+        try:
+            new = self.load_operator_options()
+        except OperatorsError as error:
+            for line in str(error).splitlines()[:MAX_LOGGED_MISTAKES]:
+                logger.error("the old operators' file goes on: {}", line[:MAX_LOGGED_CHARS])
+            return
+        changed = self.operator_options.changed_sections(new)
+        if changed:
+            logger.info("operators' file read: changed are {}", ", ".join(changed))
+            self.actors.core.mailbox.post(Adopt(new.repeats))
+            self.actors.edge.adopt(new.accepting)
+            if self.actors.fleet is not None and new.fleet is not None:
+                self.actors.fleet.retune(new.fleet)
+            elif "fleet" in changed:
+                logger.warning("[fleet] takes a new start and stays as it was")
+        self.operator_options = new
+
+
+def _wait_until_drained(actors: _Actors) -> None:
+    """Waits until every exchange is answered, no caller is connected and the last report to the membership
+    list was OUT, or until the time to stop is nearly over; then flushes and closes the connections."""
+    core = actors.core
+    edge = actors.edge
+    while now_ms() < (core.stop_at or 0.0) - EXIT_MARGIN_MS:
+        if not core.unanswered and edge.emptied() and actors.membership_list.told is False:
+            break
+        gevent.sleep(DRAIN_POLL_S)
+    logger.info("leaves with {} exchanges, {} connections", core.unanswered, len(edge.connections))
+    edge.last_words()
+
+
 def serve(
     configuration: Configuration,
     operator_options: OperatorOptions,
@@ -89,77 +186,18 @@
 
         fleet = FleetActor(operator_options.fleet, configuration.name, configuration.settings.seed)
     edge = Front(configuration.listen_address, configuration.sockets, core, spawn, operator_options.accepting)
-
-    def finish_drain() -> None:
-        """Ends the process once every exchange is answered and the membership list knows that this backend is
-        out, or when the time to stop is nearly over."""
-        stopped_accepting.wait()
-        while now_ms() < (core.stop_at or 0.0) - EXIT_MARGIN_MS:
-            if not core.unanswered and edge.emptied() and membership_list.told is False:
-                break
-            gevent.sleep(DRAIN_POLL_S)
-        logger.info("leaves with {} exchanges, {} connections", core.unanswered, len(edge.connections))
-        edge.last_words()
-        finished.set()
-
-    current_options = operator_options
-
-    def reload() -> None:
-        reload_configuration()
-        reload_operator_options()
-
-    def reload_operator_options() -> None:
-        """Applies the operators' file whole, or not at all where it has a mistake."""
-        nonlocal current_options
-        try:
-            new = load_operator_options()
-        except OperatorsError as error:
-            for line in str(error).splitlines()[:MAX_LOGGED_MISTAKES]:
-                logger.error("the old operators' file goes on: {}", line[:MAX_LOGGED_CHARS])
-            return
-        changed = current_options.changed_sections(new)
-        if changed:
-            logger.info("operators' file read: changed are {}", ", ".join(changed))
-            core.mailbox.post(Adopt(new.repeats))
-            edge.adopt(new.accepting)
-            if fleet is not None and new.fleet is not None:
-                fleet.retune(new.fleet)
-            elif "fleet" in changed:
-                logger.warning("[fleet] takes a new start and stays as it was")
-        current_options = new
-
-    def reload_configuration() -> None:
-        """Applies new addresses of the agent, the membership list and the dependency; every other setting
-        stays as it was at the start."""
-        try:
-            new = read_configuration()
-        except ConfigurationError as error:
-            logger.error("the old configuration goes on: {}", error)
-            return
-        if new.name != configuration.name:
-            logger.error(
-                "the old configuration goes on: the new one is for {!r}", new.name[:MAX_LOGGED_NAME_CHARS]
-            )
-            return
-        ignored = configuration.changes_needing_restart(new)
-        if ignored:
-            logger.warning(
-                "these take a new start and stay as they were: {}", ", ".join(ignored)[:MAX_LOGGED_KEYS_CHARS]
-            )
-        logger.info(
-            "configuration read: agent {}:{}, list {}:{}", *new.agent_address, *new.membership_list_address
-        )
-        if dependency is not None and new.dependency_address is not None:
-            logger.info("configuration read: layer below {}:{}", *new.dependency_address)
-            dependency.move(new.dependency_address)
-        agent.move(new.agent_address)
-        membership_list.move(new.membership_list_address)
-
+    actors = _Actors(core, agent, membership_list, dependency, edge, fleet)
+    reloader = _Reloader(configuration, operator_options, read_configuration, load_operator_options, actors)
     core.on_shut.append(stopped_accepting.set)
     core.on_beat += [agent.look, membership_list.beat]
     if dependency is not None:
         core.on_beat.append(dependency.look)
 
+    def finish_drain() -> None:
+        stopped_accepting.wait()
+        _wait_until_drained(actors)
+        finished.set()
+
     def start_drain() -> None:
         core.mailbox.post(Leave(now_ms()))
         if fleet is not None:
@@ -172,9 +210,9 @@
         )
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, start_drain)
-    gevent.signal_handler(signal.SIGHUP, reload)
+    gevent.signal_handler(signal.SIGHUP, reloader.reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-    actors: list[Callable[[], object]] = [
+    runs: list[Callable[[], object]] = [
         core.run,
         agent.run,
         agent.write,
@@ -183,11 +221,11 @@
         finish_drain,
     ]
     if dependency is not None:
-        actors.append(dependency.run)
+        runs.append(dependency.run)
     if fleet is not None:
-        actors += fleet.actors()
-    for actor in actors:
-        spawn(actor)
+        runs += fleet.actors()
+    for run in runs:
+        spawn(run)
     logger.info("{} listens on {}:{}", configuration.name, *configuration.listen_address)
     if operator_options.path is not None:
         enabled = [name for name in SECTIONS if getattr(operator_options, name) is not None]
