--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -7,8 +7,10 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
+from myrtlecrank.fleet.ownership.lease import Lease
 from myrtlecrank.fleet.register import disk as disks
 from myrtlecrank.fleet.register.caspaxos import MOST_KEYS, Pause, Proposer, Round, Voter, counted
 from myrtlecrank.fleet.register.messages import (
@@ -16,6 +18,9 @@
     NOTHING,
     Accept,
     Ballot,
+    Enlist,
+    Glance,
+    Keys,
     Known,
     Memory,
     Outcome,
@@ -24,6 +29,7 @@
     Register,
     Rejoin,
     Result,
+    Seated,
     Slot,
     Vote,
 )
@@ -358,6 +364,55 @@
     assert memory is not None and memory.boot == 0
 
 
+# -- names on the wire and on disk
+
+
+def test_structs_keep_their_names_on_the_wire_and_on_disk() -> None:
+    """Members of another build and memory files find each struct by its tag and each field by its name."""
+    ballot, record = Ballot(2, "p"), Record(1, b"x", "p:1")
+    ballot_out = {"number": 2, "by": "p"}
+    record_out = {"version": 1, "value": b"x", "writer": "p:1"}
+    roster_out = {"number": 0, "sets": [{"a": "", "b": "", "c": ""}]}
+    slot = Slot(ballot, ballot, record)
+    slot_out = {"promised": ballot_out, "accepted": ballot_out, "record": record_out}
+    vote = Vote("a", 1, True, ballot, ballot, record, {"b": 2}, "a/1:1", ROSTER, ["k"])
+    vote_out = {"type": "Vote", "voter": "a", "boot": 1, "granted": True, "ballot": ballot_out}
+    vote_out |= {"accepted": ballot_out, "record": record_out, "boots": {"b": 2}, "seat": "a/1:1"}
+    vote_out |= {"roster": roster_out, "keys": ["k"]}
+    known_out = {"type": "Known", "voter": "a", "boot": 1, "asked": 2, "before": 3, "slots": {"k": slot_out}}
+    known_out |= {"boots": {"b": 2}, "roster": roster_out}
+    memory_out = {"fleet": "f", "voter": "a", "boot": 1, "slots": {"k": slot_out}, "boots": {"b": 2}}
+    version_1 = disks.MemoryBefore("f", "a", 1, {"k": slot}, {"b": 2}, ["a"])
+    written: list[tuple[Any, dict[str, Any]]] = [
+        (Prepare("k", ballot), {"type": "Prepare", "key": "k", "ballot": ballot_out}),
+        (
+            Accept("k", ballot, record),
+            {"type": "Accept", "key": "k", "ballot": ballot_out, "record": record_out},
+        ),
+        (Glance("k"), {"type": "Glance", "key": "k"}),
+        (Keys(), {"type": "Keys"}),
+        (Enlist("t"), {"type": "Enlist", "token": "t"}),
+        (Rejoin("a", 1), {"type": "Rejoin", "voter": "a", "boot": 1}),
+        (Seated(ROSTER), {"type": "Seated", "roster": roster_out}),
+        (vote, vote_out),
+        (Vote("a", 1, False), {"type": "Vote", "voter": "a", "boot": 1, "granted": False}),
+        (Known("a", 1, 2, 3, {"k": slot}, {"b": 2}, ROSTER), known_out),
+        (
+            Memory("f", "a", 1, {"k": slot}, {"b": 2}, ROSTER, "a/1:1", "t"),
+            memory_out | {"roster": roster_out, "seat": "a/1:1", "token": "t"},
+        ),
+        (version_1, memory_out | {"voters": ["a"]}),
+        (Lease("a/1", 1, 2, "b", 3), {"owner": "a/1", "epoch": 1, "turn": 2, "heir": "b", "progress": 3}),
+        (Outcome(Result.AWAY, record), {"result": "away", "record": record_out}),
+    ]
+    for value, expected in written:
+        packed = msgspec.msgpack.encode(value)
+        sent = msgspec.msgpack.decode(packed)
+        assert sent == expected
+        assert list(sent) == list(expected), "the order of fields"
+        assert msgspec.msgpack.decode(packed, type=type(value)) == value
+
+
 # -- histories
 
 
