--- a/benchmarks/register_flush.py
+++ b/benchmarks/register_flush.py
@@ -22,7 +22,7 @@
     """Votes a second, median and 99th percentile of a flush in ms."""
     disk = Disk(folder, "bench", f"v{flush}{together}")
     disk.found(["o", "p", "v"])
-    voter = Voter("v", ["o", "p"], disk.load(), disk.keep if flush else lambda _: True)
+    voter = Voter("v", ["o", "p"], disk.load(), disk.save if flush else lambda _: True)
     times = HdrHistogram(1, 60_000_000, 3)
     begun = time.perf_counter()
     for i in range(ROUNDS):
@@ -31,7 +31,7 @@
             for j in range(together)
         ]
         start = time.perf_counter_ns()
-        voter.answers(asked)
+        voter.answer_batch(asked)
         times.record_value(max(1, (time.perf_counter_ns() - start) // 1000))
     rate = ROUNDS * together / (time.perf_counter() - begun)
     return rate, times.get_value_at_percentile(50) / 1000.0, times.get_value_at_percentile(99) / 1000.0
--- a/myrtlecrank/fleet/ownership/lease.py
+++ b/myrtlecrank/fleet/ownership/lease.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
+from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 
 
 class Lease(Struct, frozen=True):
@@ -90,7 +90,7 @@
 
     def __init__(self, name: str, me: str, terms: Terms) -> None:
         self.name, self.me, self.terms = name, me, terms
-        self.record, self.lease = NOTHING, NONE
+        self.record, self.lease = EMPTY_RECORD, NONE
         self.known = False  # the record has been read since the last doubt
         self.since = 0.0  # when the record was first seen to stand as it does
         self.epoch: int | None = None  # while owned, by our own last knowledge
--- a/myrtlecrank/fleet/register/__init__.py
+++ b/myrtlecrank/fleet/register/__init__.py
@@ -1,1 +1,2 @@
-"""The fleet register: small versioned records changed by compare-and-set, one truth through any partition."""
+"""The fleet register: small versioned records changed by compare-and-set, linearizable through any
+partition."""
--- a/myrtlecrank/fleet/register/calls.py
+++ b/myrtlecrank/fleet/register/calls.py
@@ -1,5 +1,7 @@
-"""What is carried between proposers and voters: a proposer's rounds out, votes in, time-outs; a voter's
-letters in and its replies. Free of I/O and clocks."""
+"""Runs the calls of proposers and answers the messages to a voter.
+
+For proposers: requests out, votes in, timeouts. For a voter: a batch of messages in, its answers out. Free of
+I/O and clocks; times are in ms."""
 
 from __future__ import annotations
 
@@ -10,115 +12,143 @@
 from myrtlecrank.fleet.messages import Asked, Message, Voted
 from myrtlecrank.fleet.register.caspaxos import Pause, Round, Voter
 from myrtlecrank.fleet.register.messages import Known, Rejoin, Seated, Vote
-from myrtlecrank.fleet.register.voter_set import GUESS
+from myrtlecrank.fleet.register.voter_set import UNKNOWN_VOTER_SET
 
 T = TypeVar("T")
-Letter = Asked | Rejoin | Known | Seated  # what a voter is sent
-Steps = Generator[Round | Pause, list[Vote], T]
-
-
-def replies(voter: Voter, letters: Iterable[tuple[str, Letter]]) -> list[tuple[str, Message]]:
-    """What a voter says to letters that came together, by sender: all votes under one flush. Nobody may speak
-    for another voter."""
-    said: list[tuple[str, Message]] = []
-    questions: list[tuple[str, Asked]] = []
-    for sender, letter in letters:
-        if isinstance(letter, Asked):
-            questions.append((sender, letter))
-        elif isinstance(letter, Seated):
-            # First the questions that came before it: they were asked under the older roster.
-            said += _votes(voter, questions)
-            questions = []
-            voter.adopt(letter.roster)
-        elif sender != letter.voter:
+Letter = Asked | Rejoin | Known | Seated  # the messages to a voter
+ProposerCall = Generator[Round | Pause, list[Vote], T]
+
+
+def replies(voter: Voter, messages: Iterable[tuple[str, Letter]]) -> list[tuple[str, Message]]:
+    """The voter's answers, each with its receiver, to messages that arrived together, each with its sender.
+
+    Votes are made durable by one write, as far as possible. A message in the name of another voter is
+    ignored."""
+    answers: list[tuple[str, Message]] = []
+    requests: list[tuple[str, Asked]] = []
+    for sender, message in messages:
+        if isinstance(message, Asked):
+            requests.append((sender, message))
+        elif isinstance(message, Seated):
+            # Requests that arrived before were made under the older voter set: they are answered first.
+            answers += _votes(voter, requests)
+            requests = []
+            voter.adopt_voter_set(message.roster)
+        elif sender != message.voter:
             continue
-        elif isinstance(letter, Known):
-            voter.told(letter)
-        elif (known := voter.asked(letter)) is not None:
-            said.append((sender, known))
-    return said + _votes(voter, questions)
+        elif isinstance(message, Known):
+            voter.accept_rejoin_answer(message)
+        elif (answer := voter.answer_rejoin(message)) is not None:
+            answers.append((sender, answer))
+    return answers + _votes(voter, requests)
 
 
-def _votes(voter: Voter, questions: list[tuple[str, Asked]]) -> list[tuple[str, Message]]:
-    votes = voter.answers((asked.mark, asked.ask) for _, asked in questions)
+def _votes(voter: Voter, requests: list[tuple[str, Asked]]) -> list[tuple[str, Message]]:
+    votes = voter.answer_batch((message.mark, message.ask) for _, message in requests)
     return [
-        (sender, Voted(asked.call, asked.round, vote))
-        for (sender, asked), vote in zip(questions, votes, strict=True)
+        (sender, Voted(message.call, message.round, vote))
+        for (sender, message), vote in zip(requests, votes, strict=True)
         if vote is not None
     ]
 
 
 @dataclass(slots=True)
-class Pending:
-    call: Steps[Any]
-    done: Callable[[Any, float], None]
+class PendingCall:
+    """A call that is waiting for the votes of its present round, or for the end of a pause."""
+
+    call: ProposerCall[Any]
+    on_done: Callable[[Any, float], None]
     step: Round | Pause
-    round: int = 0
+    round_number: int = 0
     due: float = 0.0
     votes: dict[str, Vote] = field(default_factory=dict)
-    taught: set[str] = field(default_factory=set)  # voters that were told the roster in this round
+    updated_voters: set[str] = field(default_factory=set)  # were sent the newest voter set in this round
 
 
 class Calls:
-    """`reply_ms` bounds each round; a call is bounded by its proposer's tries."""
+    """The calls under way of one process.
+
+    `reply_timeout_ms` bounds each round; the attempts of its proposer bound a call. `send` sends a message to
+    a voter."""
 
-    def __init__(self, reply_ms: float, send: Callable[[str, Asked | Seated], None]) -> None:
-        self.reply_ms, self.send = reply_ms, send
-        self.pending: dict[int, Pending] = {}
-        self.newest = GUESS  # of the rosters that were asked under
-        self.number = 0
+    def __init__(self, reply_timeout_ms: float, send: Callable[[str, Asked | Seated], None]) -> None:
+        self.reply_timeout_ms = reply_timeout_ms
+        self.send = send
+        self.pending: dict[int, PendingCall] = {}
+        self.newest_voter_set = UNKNOWN_VOTER_SET  # of those under which requests were made
+        self.last_call_number = 0
 
-    def start(self, call: Steps[T], done: Callable[[T, float], None], now: float) -> None:
-        self.number += 1
-        one = Pending(call, done, Pause(0.0))
-        self.pending[self.number] = one
-        self._go(self.number, one, None, now)
+    def start(self, call: ProposerCall[T], on_done: Callable[[T, float], None], now: float) -> None:
+        """Starts a call; `on_done` gets its result and the time at which it ended."""
+        self.last_call_number += 1
+        pending = PendingCall(call, on_done, Pause(0.0))
+        self.pending[self.last_call_number] = pending
+        self._advance(self.last_call_number, pending, None, now)
 
     def heard(self, sender: str, voted: Voted, now: float) -> None:
+        """Takes in a vote."""
         vote = voted.vote
         if sender != vote.voter:
-            return  # a vote counts for the voter that sent it alone
-        one, step = self.pending.get(voted.call), None
-        if one is not None and voted.round == one.round and isinstance(one.step, Round):
-            step = one.step if sender in one.step.names else None
-        if vote.roster is not None and vote.roster.number < self.newest.number:
-            self._teach(sender, voted, one if step is not None else None)
-        elif one is not None and step is not None:
-            one.votes.setdefault(sender, vote)
-            if step.settled(one.votes.values()) or len(one.votes) == len(step.names):
-                self._go(voted.call, one, list(one.votes.values()), now)
-
-    def _teach(self, sender: str, voted: Voted, one: Pending | None) -> None:
-        """It has not heard of the roster that it was asked under: told, and asked again once in a round. Told
-        even where the majority did without it, else one slower than the others would never hear."""
-        if one is None or sender not in one.taught:
-            self.send(sender, Seated(self.newest))
-        if one is not None and isinstance(one.step, Round) and sender not in one.taught:
-            one.taught.add(sender)
-            self.send(sender, Asked(voted.call, one.round, one.step.roster.mark(), one.step.ask))
+            return  # a vote counts only for the voter that sent it
+        pending = self.pending.get(voted.call)
+        round_: Round | None = None
+        if (
+            pending is not None
+            and voted.round == pending.round_number
+            and isinstance(pending.step, Round)
+            and sender in pending.step.voter_names
+        ):
+            round_ = pending.step
+        if vote.roster is not None and vote.roster.number < self.newest_voter_set.number:
+            self._update_voter(sender, voted, pending if round_ is not None else None)
+        elif pending is not None and round_ is not None:
+            pending.votes.setdefault(sender, vote)
+            is_complete = len(pending.votes) == len(round_.voter_names)
+            if round_.is_decided(pending.votes.values()) or is_complete:
+                self._advance(voted.call, pending, list(pending.votes.values()), now)
+
+    def _update_voter(self, sender: str, voted: Voted, pending: PendingCall | None) -> None:
+        """Sends the newest voter set to a voter that has not heard of it, and repeats the request once a
+        round.
+
+        The voter set is sent even if the round is over: a voter that is slower than the others would
+        otherwise never hear of it."""
+        if pending is None or sender not in pending.updated_voters:
+            self.send(sender, Seated(self.newest_voter_set))
+        if pending is not None and isinstance(pending.step, Round) and sender not in pending.updated_voters:
+            pending.updated_voters.add(sender)
+            fingerprint = pending.step.voter_set.fingerprint()
+            request = pending.step.request
+            self.send(sender, Asked(voted.call, pending.round_number, fingerprint, request))
 
     def tick(self, now: float) -> None:
-        for number, one in list(self.pending.items()):
-            if one.due <= now:
-                self._go(number, one, list(one.votes.values()), now)
+        """Resumes the calls whose round has timed out or whose pause is over."""
+        for number, pending in list(self.pending.items()):
+            if pending.due <= now:
+                self._advance(number, pending, list(pending.votes.values()), now)
 
     def due(self) -> float:
-        return min((one.due for one in self.pending.values()), default=float("inf"))
+        """When tick() is to be called next; infinity if there is nothing to wait for."""
+        return min((pending.due for pending in self.pending.values()), default=float("inf"))
 
-    def _go(self, number: int, one: Pending, votes: list[Vote] | None, now: float) -> None:
+    def _advance(self, number: int, pending: PendingCall, votes: list[Vote] | None, now: float) -> None:
+        """Resumes the call and begins its next round or pause, or ends it. `votes` is None at its start."""
         try:
-            one.step = next(one.call) if votes is None else one.call.send(votes)
+            pending.step = next(pending.call) if votes is None else pending.call.send(votes)
         except StopIteration as end:
             del self.pending[number]
-            one.done(end.value, now)
+            pending.on_done(end.value, now)
             return
-        one.round, one.votes, one.taught = one.round + 1, {}, set()
-        if isinstance(one.step, Pause):
-            one.due = now + one.step.ms
+        pending.round_number += 1
+        pending.votes = {}
+        pending.updated_voters = set()
+        if isinstance(pending.step, Pause):
+            pending.due = now + pending.step.duration_ms
             return
-        one.due = now + self.reply_ms
-        mark = one.step.roster.mark()
-        if one.step.roster.number > self.newest.number:
-            self.newest = one.step.roster
-        for voter in one.step.names:
-            self.send(voter, Asked(number, one.round, mark, one.step.ask))
+        pending.due = now + self.reply_timeout_ms
+        voter_set = pending.step.voter_set
+        fingerprint = voter_set.fingerprint()
+        if voter_set.number > self.newest_voter_set.number:
+            self.newest_voter_set = voter_set
+        for voter in pending.step.voter_names:
+            self.send(voter, Asked(number, pending.round_number, fingerprint, pending.step.request))
--- a/myrtlecrank/fleet/register/caspaxos.py
+++ b/myrtlecrank/fleet/register/caspaxos.py
@@ -1,10 +1,9 @@
-"""Decisions of the register: voters and the rounds of a proposer, one instance of single-decree ballots a
-key.
+"""Voters (acceptors) and proposers of the register: one instance of single-decree Paxos per key.
 
-Published as CASPaxos (Rystsov, 2018), on Paxos (Lamport, 1998): no log, no leader, each change is a prepare
-and an accept round to a majority. What is added here is the return of a voter without its memory (see
-Voter.rejoin and `counted`). Free of I/O, clocks and chance: rounds are yielded, pauses come from a function
-that is handed in."""
+Published as CASPaxos (Rystsov, 2018), on Paxos (Lamport, 1998): there is no log and no leader, each change
+is a prepare and an accept round to a majority. The return of a voter that lost its memory is an addition
+(see Voter.rejoin and `valid_grants`). Free of I/O, clocks and random sources: a call is a generator that
+yields its rounds and pauses, and random numbers come from a function that the caller passes."""
 
 from __future__ import annotations
 
@@ -12,14 +11,13 @@
 from dataclasses import dataclass
 
 from myrtlecrank.fleet.register.messages import (
-    NOTHING,
+    EMPTY_RECORD,
     Accept,
+    AddVoter,
     Ask,
     Ballot,
-    Enlist,
-    Glance,
-    Keys,
     Known,
+    ListKeys,
     Memory,
     Outcome,
     Prepare,
@@ -28,182 +26,229 @@
     Result,
     Seated,
     Slot,
+    UnverifiedRead,
     Vote,
-    sized,
+    check_size,
 )
-from myrtlecrank.fleet.register.voter_set import Roster, guessed
+from myrtlecrank.fleet.register.voter_set import FOUNDING_NUMBER, Roster, guessed
 
-MOST_KEYS = 1024  # of one register: what a voter writes at a change grows with them
-BOOTS_A_ROSTER = 1 << 20  # more than a voter can lose its memory under one roster
+MAX_KEYS = 1024  # a voter writes its whole memory at each change
+# Above the number of times that a voter can lose its memory under one voter set.
+BOOTS_PER_VOTER_SET = 1 << 20
+MAX_BACKOFF_FACTOR = 4
+MIN_JITTER_FACTOR = 0.5  # the jitter factor is drawn from here to 1 above
 
 
 class Voter:
-    """One voter: its memory, and whether it may vote.
+    """One voter (a Paxos acceptor): its memory, and whether it may vote.
 
-    A voter whose memory is lost, torn or of a doubtful age abstains: it asks *all* other voters what they
-    know and goes on from the highest of it, under a new boot number. All, because any one of them may be the
-    only other member of a majority that it voted in. What it had promised or accepted may still be on its way
-    to a proposer as a vote of its old boot; since all others have written the new boot down before they
-    answered, any majority of votes made after that shows the old one to be void (`counted`).
+    A voter whose memory is lost, torn or possibly outdated abstains. It asks *all* other voters for their
+    state and continues from the highest of it, under a new boot number. It needs all of them, because any
+    one of them may be the only other member of a majority that it voted in. Votes of its old boot may still
+    be on their way to a proposer. As all others have stored the new boot number before they answer, any
+    majority of votes made after that shows the old votes to be void (`valid_grants`).
 
-    It answers under the newest roster that it has heard of alone, and never goes back to an older one:
-    what was asked under another is refused with its own. `guess`: the voters of the operators' file,
-    asked where it remembers no roster. `ident`: new with each start, so that a seat is.
+    The voter answers only under the newest voter set that it has heard of, and never returns to an older one.
+    A request that was made under another voter set is refused with the voter's own.
 
-    `keep` writes the memory and returns when it is durable; where it fails, the voter says nothing."""
+    `configured_voters` are the voters of the operators' file, asked if the memory holds no voter set.
+    `persist` writes the memory and returns True once it is durable; if it fails, the voter does not answer.
+    `memory_is_trusted` tells that the memory cannot be an older copy. `instance_id` is new with each start,
+    so that each identity of the voter is new too."""
 
     def __init__(
         self,
         name: str,
-        guess: Iterable[str],
+        configured_voters: Iterable[str],
         memory: Memory | None,
-        keep: Callable[[Memory], bool],
+        persist: Callable[[Memory], bool],
         fleet: str = "",
-        whole: bool = True,
-        ident: str = "",
+        memory_is_trusted: bool = True,
+        instance_id: str = "",
     ) -> None:
-        self.name, self.keep, self.ident = name, keep, ident
-        self.memory = memory or Memory(fleet, name, 0, {}, {}, guessed(guess))
-        self.lost = memory is None  # nothing of it may be told to another that rejoins
-        self.whole = whole or not self.others  # the only voter has nobody to ask
-        self.voting = memory is not None and self.seated and self.whole
+        self.name = name
+        self.persist = persist
+        self.instance_id = instance_id
+        self.memory = memory or Memory(fleet, name, 0, {}, {}, guessed(configured_voters))
+        self.memory_is_lost = memory is None  # no other voter may rejoin from this state
+        # A single voter has nobody to ask.
+        self.memory_is_trusted = memory_is_trusted or not self.others
+        self.voting = memory is not None and self.seated and self.memory_is_trusted
         if not self.voting:
             self.memory.boot += 1
-        self.heard: dict[str, Known] = {}
-        self.failed = False  # the last write was
-        self.enlisted = 0
+        self.heard: dict[str, Known] = {}  # answers to the present rejoin request
+        self.failed = False  # whether the last write failed
+        self.times_added = 0
 
     @property
     def others(self) -> frozenset[str]:
+        """The names of all other voters."""
         return frozenset(self.memory.roster.names) - {self.name}
 
     @property
     def seated(self) -> bool:
-        """By its roster it votes, and with the memory that it has."""
+        """Whether the newest known voter set includes this voter, with the memory that it has."""
         memory = self.memory
-        return memory.roster.has(self.name, memory.seat) or (self.lost and self.name in memory.roster.names)
+        voter_set = memory.roster
+        return voter_set.includes(self.name, memory.seat) or (
+            self.memory_is_lost and self.name in voter_set.names
+        )
+
+    def answer_batch(self, requests: Iterable[tuple[str, Ask]]) -> list[Vote | None]:
+        """The votes on several requests, durable by one write.
 
-    def answers(self, asked: Iterable[tuple[str, Ask]]) -> list[Vote | None]:
-        """The votes on several questions, each with the mark of the roster that it was asked under, under one
-        flush, once they are durable; None for each while the voter abstains or its disk fails."""
-        asked = list(asked)
-        votes = [self._answer(mark, one) for mark, one in asked]
+        Each request comes with the fingerprint of the voter set under which it was made. The answer is None
+        for each request that the voter abstains from, and for all if the write fails."""
+        requests = list(requests)
+        votes = [self._answer(fingerprint, request) for fingerprint, request in requests]
         changed = any(
-            vote is not None and vote.granted and not isinstance(one, Glance | Keys)
-            for (_, one), vote in zip(asked, votes, strict=True)
+            vote is not None and vote.granted and not isinstance(request, UnverifiedRead | ListKeys)
+            for (_, request), vote in zip(requests, votes, strict=True)
         )
-        if not changed or self._kept():
+        if not changed or self._write_memory():
             return votes
-        # Nothing is told. What is on the disk may be either, and a later vote starts from the higher.
-        return [None] * len(asked)
+        # Nothing is sent. The disk may hold the old or the new state; a later vote starts from the higher.
+        return [None] * len(requests)
 
-    def _answer(self, mark: str, asked: Ask) -> Vote | None:
+    def _answer(self, fingerprint: str, request: Ask) -> Vote | None:
         memory = self.memory
         slots = memory.slots
-        if mark != memory.roster.mark():
+        if fingerprint != memory.roster.fingerprint():
             return self._vote(False, Ballot(), Slot(), memory.roster)
-        if isinstance(asked, Enlist):
-            return self._enlist(asked)
+        if isinstance(request, AddVoter):
+            return self._start_as_new_voter(request)
         if not self.voting:
             return None
-        if isinstance(asked, Keys):
+        if isinstance(request, ListKeys):
             return self._vote(True, Ballot(), Slot(), None, sorted(slots))
-        if asked.key not in slots and len(slots) >= MOST_KEYS:
+        if request.key not in slots and len(slots) >= MAX_KEYS:
             return None
-        slot = slots.get(asked.key, Slot())
-        if isinstance(asked, Glance):
+        slot = slots.get(request.key, Slot())
+        if isinstance(request, UnverifiedRead):
             return self._vote(True, slot.promised, slot)
-        # Equal ballots: the second round of one attempt, or a message that came twice.
-        if asked.ballot < slot.promised:
+        # An equal ballot is the accept round of the same attempt, or a message that was delivered twice.
+        if request.ballot < slot.promised:
             return self._vote(False, slot.promised, slot)
-        if isinstance(asked, Prepare):
-            new = Slot(asked.ballot, slot.accepted, slot.record)
+        if isinstance(request, Prepare):
+            new = Slot(request.ballot, slot.accepted, slot.record)
         else:
-            new = Slot(asked.ballot, asked.ballot, asked.record)
-        slots[asked.key] = new
-        return self._vote(True, asked.ballot, new)
+            new = Slot(request.ballot, request.ballot, request.record)
+        slots[request.key] = new
+        return self._vote(True, request.ballot, new)
 
-    def _enlist(self, asked: Enlist) -> Vote | None:
-        """Begins with an empty memory, unless this one is needed: it votes, or could once it has rejoined."""
+    def _start_as_new_voter(self, request: AddVoter) -> Vote | None:
+        """Starts with an empty memory, unless the present one is needed: if this voter votes, or would vote
+        once it has rejoined."""
         memory = self.memory
-        if asked.token != memory.token:
-            if memory.roster.number < 0 or (memory.roster.has(self.name, memory.seat) and not self.lost):
+        if request.token != memory.token:
+            voter_set = memory.roster
+            is_needed = voter_set.includes(self.name, memory.seat) and not self.memory_is_lost
+            if voter_set.number < FOUNDING_NUMBER or is_needed:
                 return None
-            self.enlisted += 1
-            # Above all boots that the others may know of an earlier seat of this one.
-            boot = max(memory.boot, (memory.roster.number + 1) * BOOTS_A_ROSTER)
-            seat = f"{self.ident}:{self.enlisted}"
-            self.memory = Memory(memory.fleet, self.name, boot, {}, {}, memory.roster, seat, asked.token)
-            self.lost, self.voting, self.heard = False, False, {}
+            self.times_added += 1
+            # Above all boot numbers that the others may know of an earlier identity of this voter.
+            boot = max(memory.boot, (voter_set.number + 1) * BOOTS_PER_VOTER_SET)
+            identity = f"{self.instance_id}:{self.times_added}"
+            self.memory = Memory(memory.fleet, self.name, boot, {}, {}, voter_set, identity, request.token)
+            self.memory_is_lost = False
+            self.voting = False
+            self.heard = {}
         return self._vote(True, Ballot(), Slot())
 
-    def adopt(self, roster: Roster) -> bool:
-        """Goes by a newer roster that was chosen, once that is durable; True where it is newer and kept."""
-        memory, old = self.memory, self.memory.roster
-        if roster.number <= old.number:
+    def adopt_voter_set(self, voter_set: Roster) -> bool:
+        """Uses a newer voter set that was chosen, once that is durable; True if it is newer and in use."""
+        memory = self.memory
+        old = memory.roster
+        if voter_set.number <= old.number:
             return False
-        memory.roster, self.heard = roster, {}
-        if self.lost:
-            # Nothing is written: a file without what was forgotten must never pass for a memory.
+        memory.roster = voter_set
+        self.heard = {}
+        if self.memory_is_lost:
+            # Nothing is written: a file without the lost promises must never pass for a memory.
             return True
-        if not self._kept():
+        if not self._write_memory():
             memory.roster = old
             return False
-        # One that was enlisted for this roster has nothing to learn; not so one that may be an older
-        # copy of it.
-        enlisted = (self.whole or self.enlisted > 0) and not old.has(self.name, memory.seat)
-        self.voting = self.seated and (self.voting or enlisted)
+        # A voter that was added for this voter set has nothing to learn from the others. That does not hold
+        # if its memory may be an older copy.
+        is_new_voter = (self.memory_is_trusted or self.times_added > 0) and not old.includes(
+            self.name, memory.seat
+        )
+        self.voting = self.seated and (self.voting or is_new_voter)
         return True
 
     def rejoin(self) -> Rejoin | None:
-        """What to ask the others, again and again until voting; None where nothing is wanted."""
+        """The request to send to all other voters, repeatedly until voting; None if none is needed."""
         return None if self.voting or not self.seated else Rejoin(self.name, self.memory.boot)
 
-    def asked(self, rejoin: Rejoin) -> Known | Seated | None:
-        """Tells another what is known here, after writing its boot down; None where this one has lost its
-        own. One that votes no longer hears who does."""
-        if self.lost or not self.seated:
-            return Seated(self.memory.roster) if self.memory.roster.number >= 0 else None
-        if rejoin.voter not in self.others:
+    def answer_rejoin(self, request: Rejoin) -> Known | Seated | None:
+        """The answer to a voter that rejoins, after its boot number is durable here.
+
+        None if this voter has lost its own memory, or the write fails. A requester that does not vote is told
+        the voter set."""
+        if self.memory_is_lost or not self.seated:
+            return Seated(self.memory.roster) if self.memory.roster.number >= FOUNDING_NUMBER else None
+        if request.voter not in self.others:
             return Seated(self.memory.roster)
-        before = self.memory.boots.get(rejoin.voter, 0)
-        if rejoin.boot > before:
-            self.memory.boots[rejoin.voter] = rejoin.boot
-            if not self._kept():
+        previous_boot = self.memory.known_boots.get(request.voter, 0)
+        if request.boot > previous_boot:
+            self.memory.known_boots[request.voter] = request.boot
+            if not self._write_memory():
                 return None
         memory = self.memory
-        return Known(self.name, memory.boot, rejoin.boot, before, memory.slots, memory.boots, memory.roster)
-
-    def told(self, known: Known) -> bool:
-        """Takes in an answer; True once it votes again."""
-        mine = self.memory
-        if known.roster.number > mine.roster.number:
-            self.adopt(known.roster)  # those who vote now are to be asked, all of them
-        if self.voting or not self.seated or known.voter not in self.others or known.asked != mine.boot:
+        return Known(
+            self.name,
+            memory.boot,
+            request.boot,
+            previous_boot,
+            memory.slots,
+            memory.known_boots,
+            memory.roster,
+        )
+
+    def accept_rejoin_answer(self, answer: Known) -> bool:
+        """Takes in an answer to the rejoin request; True once this voter votes again."""
+        own = self.memory
+        if answer.roster.number > own.roster.number:
+            # The request goes to all voters of the newer voter set.
+            self.adopt_voter_set(answer.roster)
+        if (
+            self.voting
+            or not self.seated
+            or answer.voter not in self.others
+            or answer.requested_boot != own.boot
+        ):
             return self.voting
-        if known.before >= mine.boot and known.voter not in self.heard:
-            # An older start may have voted under that number: begin again above it.
-            mine.boot, self.heard = known.before + 1, {}
+        if answer.previous_boot >= own.boot and answer.voter not in self.heard:
+            # An earlier start may have voted under this boot number: restart the request above it.
+            own.boot = answer.previous_boot + 1
+            self.heard = {}
             return False
-        self.heard[known.voter] = known
+        self.heard[answer.voter] = answer
         if frozenset(self.heard) != self.others:
             return False
-        for one in self.heard.values():
-            for key, slot in one.slots.items():
-                own = mine.slots.get(key, Slot())
-                highest = slot if slot.accepted > own.accepted else own
-                mine.slots[key] = Slot(max(slot.promised, own.promised), highest.accepted, highest.record)
-            for name, boot in (one.boots | {one.voter: one.boot}).items():
-                if name != self.name:
-                    mine.boots[name] = max(boot, mine.boots.get(name, 0))
-        if self.lost:
-            mine.seat = mine.roster.seat(self.name) or ""
-        self.lost = False
-        self.voting = self._kept()
+        self._merge_answers()
+        if self.memory_is_lost:
+            own.seat = own.roster.seat(self.name) or ""
+        self.memory_is_lost = False
+        self.voting = self._write_memory()
         return self.voting
 
-    def _kept(self) -> bool:
-        self.failed = not self.keep(self.memory)
+    def _merge_answers(self) -> None:
+        """Raises this memory to the highest state in the answers of all other voters."""
+        own = self.memory
+        for answer in self.heard.values():
+            for key, slot in answer.slots.items():
+                own_slot = own.slots.get(key, Slot())
+                highest = slot if slot.accepted > own_slot.accepted else own_slot
+                promised = max(slot.promised, own_slot.promised)
+                own.slots[key] = Slot(promised, highest.accepted, highest.record)
+            for name, boot in (answer.known_boots | {answer.voter: answer.boot}).items():
+                if name != self.name:
+                    own.known_boots[name] = max(boot, own.known_boots.get(name, 0))
+
+    def _write_memory(self) -> bool:
+        self.failed = not self.persist(self.memory)
         return not self.failed
 
     def _vote(
@@ -211,7 +256,7 @@
         granted: bool,
         ballot: Ballot,
         slot: Slot,
-        roster: Roster | None = None,
+        voter_set: Roster | None = None,
         keys: Iterable[str] = (),
     ) -> Vote:
         memory = self.memory
@@ -222,156 +267,185 @@
             ballot,
             slot.accepted,
             slot.record,
-            dict(memory.boots),
+            dict(memory.known_boots),
             memory.seat,
-            roster,
+            voter_set,
             list(keys),
         )
 
 
-def counted(votes: Iterable[Vote]) -> list[Vote]:
-    """The granted votes of one round that stand: not those of a voter which, as another vote of the same
-    round knows, has come up without its memory since."""
+def valid_grants(votes: Iterable[Vote]) -> list[Vote]:
+    """The granted votes of one round that are valid.
+
+    A vote is void if another vote of the same round knows that its voter has started without its memory
+    since."""
     votes = list(votes)
-    latest: dict[str, int] = {}
+    latest_boots: dict[str, int] = {}
     for vote in votes:
-        for name, boot in (vote.boots | {vote.voter: vote.boot}).items():
-            latest[name] = max(boot, latest.get(name, 0))
-    return [vote for vote in votes if vote.granted and vote.boot >= latest[vote.voter]]
+        for name, boot in (vote.known_boots | {vote.voter: vote.boot}).items():
+            latest_boots[name] = max(boot, latest_boots.get(name, 0))
+    return [vote for vote in votes if vote.granted and vote.boot >= latest_boots[vote.voter]]
 
 
 @dataclass(slots=True)
 class Round:
-    """One question to all voters of a roster, or to the one named `only`. Whoever carries it resumes
-    the call with the votes that came, at the latest after its own time-out."""
+    """One request to all voters of a voter set, or only to `single_voter`.
 
-    ask: Ask
-    roster: Roster
-    only: str = ""
-
-    @property
-    def names(self) -> tuple[str, ...]:
-        return (self.only,) if self.only else self.roster.names
+    Whoever sends it resumes the call with the votes that arrived, at the latest after its own timeout."""
 
-    def stands(self, votes: Iterable[Vote]) -> bool:
-        granted = counted(votes)
-        return bool(granted) if self.only else self.roster.stands((one.voter, one.seat) for one in granted)
+    request: Ask
+    voter_set: Roster
+    single_voter: str = ""
 
-    def settled(self, votes: Iterable[Vote]) -> bool:
-        """Nothing more needs to be waited for: a majority stands, or somebody saw a higher ballot or a newer
-        roster."""
+    @property
+    def voter_names(self) -> tuple[str, ...]:
+        """The voters to which the request goes."""
+        return (self.single_voter,) if self.single_voter else self.voter_set.names
+
+    def has_quorum(self, votes: Iterable[Vote]) -> bool:
+        """Whether a majority, or the single voter, has granted the request."""
+        grants = valid_grants(votes)
+        if self.single_voter:
+            return bool(grants)
+        return self.voter_set.has_majority((vote.voter, vote.identity) for vote in grants)
+
+    def is_decided(self, votes: Iterable[Vote]) -> bool:
+        """Whether no further vote is needed: there is a quorum, or a voter knows a higher ballot or a newer
+        voter set."""
         votes = list(votes)
-        return self.stands(votes) or any(not vote.granted for vote in votes)
+        return self.has_quorum(votes) or any(not vote.granted for vote in votes)
 
 
 @dataclass(slots=True)
 class Pause:
-    """Wait so long, in ms, before going on: two proposers in one instant would else outbid each other for
-    ever."""
+    """A wait before the next attempt: two proposers at the same instant would otherwise outbid each other
+    forever."""
 
-    ms: float
+    duration_ms: float
 
 
 Call = Generator[Round | Pause, list[Vote], Outcome]
 
 
 class Proposer:
-    """Reads and changes records through the voters. `ident` is new with each start; `chance` gives 0 to 1.
+    """Reads and changes records through the voters.
 
-    `roster` is the newest that it knows to be chosen. Both rounds of an attempt go under one; voters
-    that know a newer one say so, and the attempt begins again under that."""
+    `proposer_id` is new with each start; `random_fraction` returns a number from 0 to 1. `roster` is the
+    newest voter set that the proposer knows to be chosen. Both rounds of an attempt use the same voter set;
+    voters that know a newer one say so, and the attempt restarts under that."""
 
     def __init__(
-        self, ident: str, roster: Roster, chance: Callable[[], float], tries: int = 8, pause_ms: float = 20.0
+        self,
+        proposer_id: str,
+        voter_set: Roster,
+        random_fraction: Callable[[], float],
+        max_attempts: int = 8,
+        backoff_ms: float = 20.0,
     ) -> None:
-        self.ident, self.roster, self.chance = ident, roster, chance
-        self.tries, self.pause_ms = tries, pause_ms
-        self.number = 0
-        self.calls = 0
-        self.unlike: Roster | None = None  # one of our number that is not ours: voters were founded apart
-
-    def seated(self, roster: Roster) -> bool:
-        """Takes over a roster that was chosen, if newer."""
-        newer = roster.number > self.roster.number
-        if newer:
-            self.roster = roster
-        return newer
+        self.proposer_id = proposer_id
+        self.roster = voter_set
+        self.random_fraction = random_fraction
+        self.max_attempts = max_attempts
+        self.backoff_ms = backoff_ms
+        self.ballot_number = 0
+        self.call_count = 0
+        # A different voter set of the same number: the voters were founded with different lists.
+        self.unlike: Roster | None = None
+
+    def seated(self, voter_set: Roster) -> bool:
+        """Uses a voter set that was chosen, if it is newer; True if it is."""
+        is_newer = voter_set.number > self.roster.number
+        if is_newer:
+            self.roster = voter_set
+        return is_newer
 
     def read(self, key: str) -> Call:
-        """A read writes what it found once more: a value that a minority holds is either made to stand by it
-        or never seen, so no later read goes back behind this one. A majority that reports one ballot is no
-        ground to leave that out: a voter that rejoined reports what it copied, which need never have been
-        chosen."""
-        sized(key)
-        return self._call(key, None, b"")
+        """A linearizable read, which writes the record that it finds once more.
+
+        A record that a minority holds is either chosen by this write or never seen, so that no later read
+        returns an older one. Equal ballots from a majority do not make the write needless: a voter that has
+        rejoined reports copied state, which need never have been chosen."""
+        check_size(key)
+        return self._propose(key, None, b"")
 
     def glance(self, key: str) -> Call:
-        """One round that changes nothing and flushes nothing: the highest that a majority holds."""
-        sized(key)
-        votes = yield from self.simple(Glance(key))
+        """An unverified read: one round without a flush; the record of the highest ballot in a majority."""
+        check_size(key)
+        votes = yield from self.query_majority(UnverifiedRead(key))
         if votes is None:
             return Outcome(Result.AWAY)
         return Outcome(Result.DONE, max(votes, key=lambda vote: vote.accepted).record)
 
-    def simple(self, ask: Glance | Keys) -> Generator[Round | Pause, list[Vote], list[Vote] | None]:
-        """One round to a majority; again where voters name a newer roster. None where no majority
-        answered."""
+    def query_majority(
+        self, request: UnverifiedRead | ListKeys
+    ) -> Generator[Round | Pause, list[Vote], list[Vote] | None]:
+        """The valid votes of a majority on a request that changes nothing; None if no majority answered.
+
+        The round is repeated if a voter knows a newer voter set."""
         while True:
-            round_ = Round(ask, self.roster)
+            round_ = Round(request, self.roster)
             votes = yield round_
-            if round_.stands(votes):
-                return counted(votes)
-            if not self._told(votes):
+            if round_.has_quorum(votes):
+                return valid_grants(votes)
+            if not self._learn_from_refusals(votes):
                 return None
 
-    def change(self, key: str, over: Record, value: bytes) -> Call:
-        sized(key, value)
-        return self._call(key, over, value)
+    def change(self, key: str, expected: Record, value: bytes) -> Call:
+        """A compare-and-set: sets the value if `expected` is the current record."""
+        check_size(key, value)
+        return self._propose(key, expected, value)
 
-    def _call(self, key: str, over: Record | None, value: bytes) -> Call:
-        self.calls += 1
-        writer = f"{self.ident}:{self.calls}"
-        proposed = False  # a change of ours may stand somewhere
+    def _propose(self, key: str, expected: Record | None, value: bytes) -> Call:
+        self.call_count += 1
+        writer = f"{self.proposer_id}:{self.call_count}"
+        has_proposed = False  # a change of this call may have been accepted by some voter
         attempt = -1
-        newer = False
-        while attempt + 1 < self.tries:
-            if newer:
-                newer = False  # begins again under what was learned; no attempt, as rosters only grow
+        knows_newer_voter_set = False
+        while attempt + 1 < self.max_attempts:
+            if knows_newer_voter_set:
+                # Restarts at once. This counts as no attempt, since the numbers of voter sets only grow.
+                knows_newer_voter_set = False
             else:
                 attempt += 1
                 if attempt:
-                    yield Pause(self.pause_ms * (0.5 + self.chance()) * min(attempt, 4))
-            self.number += 1
-            ballot, roster = Ballot(self.number, self.ident), self.roster
-            round_ = Round(Prepare(key, ballot), roster)
+                    yield self.backoff(min(attempt, MAX_BACKOFF_FACTOR))
+            self.ballot_number += 1
+            ballot = Ballot(self.ballot_number, self.proposer_id)
+            voter_set = self.roster
+            round_ = Round(Prepare(key, ballot), voter_set)
             votes = yield round_
-            newer = self._told(votes)
-            if not round_.stands(votes):
+            knows_newer_voter_set = self._learn_from_refusals(votes)
+            if not round_.has_quorum(votes):
                 continue
-            found = max(counted(votes), key=lambda vote: vote.accepted).record
-            mine = found.writer == writer  # an earlier attempt of this call came through after all
-            wrong = over is not None and not mine and found.writer != over.writer
-            if wrong and proposed:
-                # Ours may have stood and been changed again since: whoever asked must look for itself.
+            found = max(valid_grants(votes), key=lambda vote: vote.accepted).record
+            is_own = found.writer == writer  # an earlier attempt of this call was accepted after all
+            is_conflict = expected is not None and not is_own and found.writer != expected.writer
+            if is_conflict and has_proposed:
+                # Our change may have been chosen and then overwritten: the caller must read again.
                 return Outcome(Result.UNKNOWN, found)
-            if over is None or mine or wrong:
+            if expected is None or is_own or is_conflict:
                 record = found
             else:
                 record = Record(found.version + 1, value, writer)
-                proposed = True
-            round_ = Round(Accept(key, ballot, record), roster)
+                has_proposed = True
+            round_ = Round(Accept(key, ballot, record), voter_set)
             votes = yield round_
-            newer = self._told(votes)
-            if round_.stands(votes):
-                return Outcome(Result.CONFLICT if wrong else Result.DONE, record)
-        return Outcome(Result.UNKNOWN if proposed else Result.AWAY, NOTHING)
-
-    def _told(self, votes: Iterable[Vote]) -> bool:
-        """Learns from refusals; True where a newer roster is among them."""
-        refused = [vote for vote in votes if not vote.granted]
-        self.number = max([self.number, *(vote.ballot.number for vote in refused)])
-        rosters = [vote.roster for vote in refused if vote.roster is not None]
-        for roster in rosters:
-            if roster.number == self.roster.number >= 0 and roster.mark() != self.roster.mark():
-                self.unlike = roster
-        return any([self.seated(roster) for roster in rosters])
+            knows_newer_voter_set = self._learn_from_refusals(votes)
+            if round_.has_quorum(votes):
+                return Outcome(Result.CONFLICT if is_conflict else Result.DONE, record)
+        return Outcome(Result.UNKNOWN if has_proposed else Result.AWAY, EMPTY_RECORD)
+
+    def backoff(self, factor: int) -> Pause:
+        """A pause of `factor` times the back-off, with random jitter."""
+        return Pause(self.backoff_ms * (MIN_JITTER_FACTOR + self.random_fraction()) * factor)
+
+    def _learn_from_refusals(self, votes: Iterable[Vote]) -> bool:
+        """Takes over higher ballot numbers and newer voter sets; True if there is a newer voter set."""
+        refusals = [vote for vote in votes if not vote.granted]
+        self.ballot_number = max([self.ballot_number, *(vote.ballot.number for vote in refusals)])
+        voter_sets = [vote.roster for vote in refusals if vote.roster is not None]
+        for voter_set in voter_sets:
+            is_same_number = voter_set.number == self.roster.number >= FOUNDING_NUMBER
+            if is_same_number and voter_set.fingerprint() != self.roster.fingerprint():
+                self.unlike = voter_set
+        return any([self.seated(voter_set) for voter_set in voter_sets])
--- a/myrtlecrank/fleet/register/messages.py
+++ b/myrtlecrank/fleet/register/messages.py
@@ -1,170 +1,198 @@
-"""What the register's parties say to each other and keep. Typed structs, so that one library checks them on
-their way in."""
+"""Messages between proposers and voters, the voter's stored state, and the interface of a register.
+
+All are typed structs, so that msgspec checks them when they are decoded. Tags and field names are part of the
+protocol between members and of the file format: a class or a field with another name in the code keeps its
+outer name by `tag=` or `field(name=...)`."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import Protocol
 
-from msgspec import Struct
+from msgspec import Struct, field
+
+from myrtlecrank.fleet.register.voter_set import UNKNOWN_VOTER_SET, Roster
 
-from myrtlecrank.fleet.register.voter_set import GUESS, Roster
+MAX_KEY_CHARACTERS = 200
+MAX_VALUE_BYTES = 4096  # a voter keeps all records in memory
+
+VOTER_SET_KEY = "fleet/voters"  # the slash keeps it apart from the duties of the operators' file
 
 
 class Ballot(Struct, frozen=True, order=True, omit_defaults=True):
-    """Orders all attempts to change a record. `by` is new with each start of a proposer: a number that two
-    starts of one process both use would let two values stand under one ballot."""
+    """A ballot number; orders all attempts to change a record.
+
+    `proposer` is new with each start of a proposer: if two starts of one process used one ballot, two values
+    could be chosen under it."""
 
     number: int = 0
-    by: str = ""
+    proposer: str = field(default="", name="by")
 
 
 class Record(Struct, frozen=True, omit_defaults=True):
-    """What a key holds. Version 0 stands for a key that nobody has written.
+    """The value of a key. Version 0 means that nobody has written the key.
 
-    `writer` names the one call that wrote it, by which a proposer knows its own change again after a reply
-    was lost."""
+    `writer` names the one call that wrote the record. By it a proposer recognizes its own change after a
+    reply was lost."""
 
     version: int = 0
     value: bytes = b""
     writer: str = ""
 
 
-NOTHING = Record()
-LONGEST_KEY, LONGEST_VALUE = 200, 4096  # characters, bytes: a voter keeps all records in memory
+EMPTY_RECORD = Record()
 
 
 class Prepare(Struct, frozen=True, tag=True):
+    """The first phase of a ballot: asks for a promise and for the record that was accepted last."""
+
     key: str
     ballot: Ballot
 
 
-class Glance(Struct, frozen=True, tag=True):
-    """What does the voter hold of this key? Promises nothing and is no read."""
+class UnverifiedRead(Struct, frozen=True, tag="Glance"):
+    """Asks for the state that the voter holds of a key. It makes no promise and is not a linearizable
+    read."""
 
     key: str
 
 
 class Accept(Struct, frozen=True, tag=True):
+    """The second phase of a ballot: asks the voter to accept the record."""
+
     key: str
     ballot: Ballot
     record: Record
 
 
-class Keys(Struct, frozen=True, tag=True):
-    """Which keys does the voter hold anything of?"""
+class ListKeys(Struct, frozen=True, tag="Keys"):
+    """Asks for all keys of which the voter holds any state."""
 
 
-class Enlist(Struct, frozen=True, tag=True):
-    """Begin as a new voter, with an empty memory and a seat that no voter ever had. `token` is new with each
-    attempt: what comes twice must not seat it twice."""
+class AddVoter(Struct, frozen=True, tag="Enlist"):
+    """Asks the receiver to start as a new voter, with an empty memory and an identity that no voter ever had.
+
+    `token` is new with each attempt: a message that is delivered twice must not give two identities."""
 
     token: str
 
 
-Ask = Prepare | Accept | Glance | Keys | Enlist
+Ask = Prepare | Accept | UnverifiedRead | ListKeys | AddVoter
 
 
 class Vote(Struct, frozen=True, tag=True, omit_defaults=True):
-    """A voter's answer. Where `granted` is false, `ballot` is the one that stood above, or `roster` the one
-    that the voter goes by where that is another than it was asked under.
+    """A voter's answer.
 
-    `boots` is how often each voter is known to have come up without its memory (see Voter)."""
+    If `granted` is false, `ballot` is the higher ballot that the voter has promised, or `roster` is the voter
+    set that it uses if the request was made under another one. `known_boots` is the highest boot number that
+    the voter knows of each other voter (see Voter)."""
 
     voter: str
     boot: int
     granted: bool
     ballot: Ballot = Ballot()
     accepted: Ballot = Ballot()
-    record: Record = NOTHING
-    boots: dict[str, int] = {}
-    seat: str = ""
-    roster: Roster | None = None
+    record: Record = EMPTY_RECORD
+    known_boots: dict[str, int] = field(default_factory=dict, name="boots")
+    identity: str = field(default="", name="seat")
+    roster: Roster | None = field(default=None, name="roster")
     keys: list[str] = []
 
 
 class Slot(Struct, omit_defaults=True):
-    """What a voter keeps of one key."""
+    """A voter's Paxos state of one key."""
 
     promised: Ballot = Ballot()
     accepted: Ballot = Ballot()
-    record: Record = NOTHING
+    record: Record = EMPTY_RECORD
 
 
 class Rejoin(Struct, frozen=True, tag=True):
-    """A voter that can't prove its memory whole asks all the others what they know, under its new boot."""
+    """Asks all other voters for their state, on behalf of a voter that cannot prove that its memory is
+    current.
+
+    `boot` is its new boot number."""
 
     voter: str
     boot: int
 
 
-class Known(Struct, frozen=True, tag=True):
-    """Answer to Rejoin: all slots of a voter. `asked` is the boot in the question, `before` the highest boot
-    of the one that asks which was known before it."""
+class Known(Struct, frozen=True, tag="Known"):
+    """Answer to Rejoin: the whole state of a voter.
+
+    `requested_boot` is the boot number in the request, `previous_boot` the highest boot number of the
+    requester that was known before the request."""
 
     voter: str
     boot: int
-    asked: int
-    before: int
+    requested_boot: int = field(name="asked")
+    previous_boot: int = field(name="before")
     slots: dict[str, Slot]
-    boots: dict[str, int]
-    roster: Roster = GUESS
+    known_boots: dict[str, int] = field(name="boots")
+    roster: Roster = field(default=UNKNOWN_VOTER_SET, name="roster")
 
 
-class Seated(Struct, frozen=True, tag=True):
-    """A roster that was chosen, for whoever goes by an older one."""
+class Seated(Struct, frozen=True, tag="Seated"):
+    """A voter set that was chosen, sent to a member that uses an older one."""
 
-    roster: Roster
+    roster: Roster = field(name="roster")
 
 
 class Memory(Struct):
-    """All that a voter must not forget. Durable before anything that depends on it is told."""
+    """The state that a voter must not forget. It is durable before any message that depends on it is sent.
+
+    `roster` is the newest voter set that the voter has heard of. `seat` is the voter's own identity, empty
+    for the founding voters. `token` is that of the last request by which it was added."""
 
     fleet: str
     voter: str
     boot: int
     slots: dict[str, Slot]
-    boots: dict[str, int]
-    roster: Roster = GUESS  # the newest that it has heard of
-    seat: str = ""  # its own; those of the founders are empty
-    token: str = ""  # by which it was enlisted last
-
-
-VOTERS = "fleet/voters"  # the record that holds the roster; no duty of the operators has a slash in its name
+    known_boots: dict[str, int] = field(name="boots")
+    roster: Roster = field(default=UNKNOWN_VOTER_SET, name="roster")
+    seat: str = field(default="", name="seat")
+    token: str = ""
 
 
 class Result(Enum):
-    DONE = "done"  # the change stands
-    CONFLICT = "conflict"  # another version stands, and nothing of ours was proposed
-    UNKNOWN = "unknown"  # it may stand now, or later, or never: read again
-    AWAY = "away"  # no majority answered, and nothing of ours was proposed
+    """How a call to the register ended."""
+
+    DONE = "done"  # the change was chosen
+    CONFLICT = "conflict"  # another version was chosen; nothing of this call was proposed
+    UNKNOWN = "unknown"  # the change may be chosen now, later or never: read again
+    AWAY = "away"  # no majority answered, and nothing of this call was proposed
 
 
 class Outcome(Struct, frozen=True):
-    """How a call ended, and the record that stood when it did (NOTHING where that is not known)."""
+    """The result of a call, and the record that was current when it ended (EMPTY_RECORD if that is
+    unknown)."""
 
     result: Result
-    record: Record = NOTHING
+    record: Record = EMPTY_RECORD
 
 
 class Register(Protocol):
-    """The interface of every backing. Both calls wait, with a bound, and raise ValueError on a key or a value
-    that is too long."""
+    """The interface of every implementation of the register.
+
+    Each call blocks for a bounded time, and raises ValueError if the key or the value is too long."""
 
     def read(self, key: str) -> Outcome:
-        """DONE with the record that stands at some instant between call and return, else AWAY."""
+        """DONE with the record that was current at some instant between call and return, else AWAY."""
 
     def glance(self, key: str) -> Outcome:
-        """Cheap: DONE with a record that somebody wrote or tried to write before the return. It may be old,
-        and need never have stood; only a change over it tells."""
+        """A cheap read: DONE with a record that somebody wrote or tried to write before the return.
+
+        The record may be old, and may never have been chosen; only a change over it tells."""
+
+    def change(self, key: str, expected: Record, value: bytes) -> Outcome:
+        """Sets the value atomically if `expected` is the current record; the version then grows by one.
 
-    def change(self, key: str, over: Record, value: bytes) -> Outcome:
-        """Sets the value where that very record stands, as one step; then the version is one higher. A record
-        is known by its writer: two calls may have tried for one version."""
+        Records are compared by their writer, as two calls may have proposed records of one version."""
 
 
-def sized(key: str, value: bytes = b"") -> None:
-    if not key or len(key) > LONGEST_KEY:
-        raise ValueError(f"a key has 1 to {LONGEST_KEY} characters, not {len(key)}")
-    if len(value) > LONGEST_VALUE:
-        raise ValueError(f"a value has at most {LONGEST_VALUE} bytes, not {len(value)}")
+def check_size(key: str, value: bytes = b"") -> None:
+    """Raises ValueError if the key or the value is too long, or the key is empty."""
+    if not key or len(key) > MAX_KEY_CHARACTERS:
+        raise ValueError(f"a key has 1 to {MAX_KEY_CHARACTERS} characters, not {len(key)}")
+    if len(value) > MAX_VALUE_BYTES:
+        raise ValueError(f"a value has at most {MAX_VALUE_BYTES} bytes, not {len(value)}")
--- a/myrtlecrank/fleet/register/reconfiguration.py
+++ b/myrtlecrank/fleet/register/reconfiguration.py
@@ -1,12 +1,13 @@
-"""Voters replaced while the register runs, through any failure of whoever does it.
+"""Replaces voters while the register runs, through any failure of the process that does it.
 
-The record VOTERS holds the roster that stands. A change writes a joint roster over it, then, under
-that, has each key that a majority holds written once more, then writes the roster that the joint one
-leads to. Between two rosters in succession every two majorities meet in a voter, and a voter never goes
-back to an older roster. Before the second change a majority of the old voters has gone over (it had to
-answer which keys there are), so nothing is chosen any more by the old ones alone; and all that was
-chosen is held by a majority of the new ones, as it was written again. Whoever finds a joint roster may
-go on from there: each step is a change over a record, or a read."""
+The record VOTER_SET_KEY holds the current voter set. A change first writes a joint configuration over it.
+Under that it writes each key that a majority holds once more. Then it writes the voter set that follows the
+joint configuration. Between two successive voter sets any two majorities share a voter, and a voter never
+returns to an older voter set. Before the last write a majority of the old voters uses the joint
+configuration (it had to answer which keys there are), so the old voters alone choose nothing any more; and
+as each key was written again, a majority of the new voters holds all that was chosen. Any process that
+finds a joint configuration may continue from there: each step is a read, or a change over a known
+record."""
 
 from __future__ import annotations
 
@@ -16,107 +17,121 @@
 import msgspec
 
 from myrtlecrank.fleet.register.caspaxos import Pause, Proposer, Round
-from myrtlecrank.fleet.register.messages import VOTERS, Enlist, Keys, Record, Result, Vote
+from myrtlecrank.fleet.register.messages import VOTER_SET_KEY, AddVoter, ListKeys, Record, Result, Vote
 from myrtlecrank.fleet.register.voter_set import Roster
 
-TRIES = 8
-AWAY = "the register does not answer: no majority of its voters is there"
+MAX_ATTEMPTS = 8
+ADD_VOTER_ATTEMPTS = 3
+NO_MAJORITY = "the register does not answer: no majority of its voters is reachable"
 
 
 @dataclass(frozen=True, slots=True)
 class Reseated:
-    """How it ended: the roster that stands as far as is known, and one line on what is wrong, empty for
-    nothing."""
+    """How a change ended: the current voter set as far as is known, and one line on what is wrong, empty if
+    nothing is."""
 
-    roster: Roster
+    voter_set: Roster
     wrong: str = ""
 
 
-Steps = Generator[Round | Pause, list[Vote], Reseated]
+ReconfigurationCall = Generator[Round | Pause, list[Vote], Reseated]
 
 
-def standing(record: Record, founders: Roster) -> Roster:
-    """The roster in the record VOTERS, which nobody has written before the first change. Raises
-    msgspec.MsgspecError where it holds something else."""
-    return msgspec.msgpack.decode(record.value, type=Roster) if record.version else founders
+def decode_voter_set(record: Record, founding: Roster) -> Roster:
+    """The voter set in the record VOTER_SET_KEY; `founding` if nobody has changed it yet.
 
+    Raises msgspec.MsgspecError if the record holds something else."""
+    return msgspec.msgpack.decode(record.value, type=Roster) if record.version else founding
 
-def reseat(proposer: Proposer, drop: Iterable[str], add: Iterable[str], token: str) -> Steps:
-    """Drops and adds these voters; with none of both, ends a change that stands half-way. One that is
-    dropped and added begins anew, with an empty memory. `token`: unlike that of any other attempt."""
-    drop, add = sorted(set(drop)), sorted(set(add))
-    seats: dict[str, str] = {}
-    for attempt in range(TRIES):
+
+def reseat(proposer: Proposer, drop: Iterable[str], add: Iterable[str], token: str) -> ReconfigurationCall:
+    """Drops and adds these voters; with neither, completes a change that is under way.
+
+    A voter that is both dropped and added starts anew, with an empty memory. `token` differs from that of any
+    other attempt."""
+    drop = sorted(set(drop))
+    add = sorted(set(add))
+    identities: dict[str, str] = {}
+    for attempt in range(MAX_ATTEMPTS):
         if attempt:
-            yield Pause(proposer.pause_ms * (0.5 + proposer.chance()) * attempt)
-        outcome = yield from proposer.read(VOTERS)
+            yield proposer.backoff(attempt)
+        outcome = yield from proposer.read(VOTER_SET_KEY)
         if outcome.result is not Result.DONE:
-            return Reseated(proposer.roster, AWAY)
+            return Reseated(proposer.roster, NO_MAJORITY)
         try:
-            roster = standing(outcome.record, proposer.roster)
+            voter_set = decode_voter_set(outcome.record, proposer.roster)
         except msgspec.MsgspecError as error:
-            return Reseated(proposer.roster, f"the record of the voters can't be read: {error}")
-        proposer.seated(roster)
-        if roster.joint:
-            yield from settle(proposer, outcome.record, roster)
+            return Reseated(proposer.roster, f"the record of the voters cannot be decoded: {error}")
+        proposer.seated(voter_set)
+        if voter_set.joint:
+            yield from complete_reconfiguration(proposer, outcome.record, voter_set)
             continue
-        (now,) = roster.sets
-        ours = bool(seats) or not add
-        if (
-            ours
-            and all(now.get(name) == seat for name, seat in seats.items())
-            and not (now.keys() & set(drop) - seats.keys())
-        ):
-            # Adopted by a majority before it is called done: whoever asks them next goes by it.
-            yield from proposer.read(VOTERS)
-            return Reseated(roster)
+        if _is_applied(voter_set, drop, add, identities):
+            # A second read has a majority adopt the voter set before the change is reported as done.
+            yield from proposer.read(VOTER_SET_KEY)
+            return Reseated(voter_set)
         try:
-            roster.changed(drop, dict.fromkeys(add, "?"))
+            voter_set.begin_change(drop, dict.fromkeys(add, "?"))
         except ValueError as error:
-            return Reseated(roster, str(error))
-        wrong = yield from _enlist(proposer, roster, add, token, seats)
+            return Reseated(voter_set, str(error))
+        wrong = yield from _add_voters(proposer, voter_set, add, token, identities)
         if wrong:
-            return Reseated(roster, wrong)
-        joint = roster.changed(drop, {name: seats[name] for name in add})
-        changed = yield from proposer.change(VOTERS, outcome.record, msgspec.msgpack.encode(joint))
+            return Reseated(voter_set, wrong)
+        joint = voter_set.begin_change(drop, {name: identities[name] for name in add})
+        changed = yield from proposer.change(VOTER_SET_KEY, outcome.record, msgspec.msgpack.encode(joint))
         if changed.result is Result.DONE:
             proposer.seated(joint)
-            yield from settle(proposer, changed.record, joint)
-    why = "others change the voters too, or the register answers too rarely: look and try again"
-    return Reseated(proposer.roster, why)
+            yield from complete_reconfiguration(proposer, changed.record, joint)
+    wrong = "others change the voters too, or the register answers too rarely: check and try again"
+    return Reseated(proposer.roster, wrong)
+
+
+def _is_applied(voter_set: Roster, drop: list[str], add: list[str], identities: dict[str, str]) -> bool:
+    """Whether a voter set that is not joint has this change already: each added voter under the identity that
+    it got here, and none of the dropped ones under another."""
+    (current,) = voter_set.sets
+    return (
+        (bool(identities) or not add)
+        and all(current.get(name) == identity for name, identity in identities.items())
+        and not (current.keys() & set(drop) - identities.keys())
+    )
 
 
-def _enlist(
-    proposer: Proposer, roster: Roster, add: Iterable[str], token: str, seats: dict[str, str]
+def _add_voters(
+    proposer: Proposer, voter_set: Roster, add: Iterable[str], token: str, identities: dict[str, str]
 ) -> Generator[Round | Pause, list[Vote], str]:
-    """Has each that is added begin anew; what is wrong, in one line."""
+    """Has each added voter start anew and notes its identity; one line on what is wrong, or an empty one."""
     for name in add:
         votes: list[Vote] = []
-        for _ in range(3):
-            asked = Round(Enlist(f"{token}/{name}"), roster, name)
-            votes = yield asked
-            if asked.stands(votes):
+        for _ in range(ADD_VOTER_ATTEMPTS):
+            round_ = Round(AddVoter(f"{token}/{name}"), voter_set, name)
+            votes = yield round_
+            if round_.has_quorum(votes):
                 break
         else:
             return (
-                f"{name!r} takes no seat: it is away, has no folder that it can write, or votes with a "
-                "whole memory"
+                f"{name!r} takes no seat: it is unreachable, has no folder that it can write, or votes with "
+                "a whole memory"
             )
-        seats[name] = votes[0].seat
+        identities[name] = votes[0].identity
     return ""
 
 
-def settle(proposer: Proposer, record: Record, joint: Roster) -> Generator[Round | Pause, list[Vote], bool]:
-    """From a joint roster that stands in this record to the one it leads to; True once that stands."""
-    votes = yield from proposer.simple(Keys())
+def complete_reconfiguration(
+    proposer: Proposer, record: Record, joint: Roster
+) -> Generator[Round | Pause, list[Vote], bool]:
+    """Moves from the joint configuration in this record to the voter set that follows it; True once that is
+    chosen."""
+    votes = yield from proposer.query_majority(ListKeys())
     if votes is None or proposer.roster != joint:
         return False
-    for key in sorted({VOTERS}.union(*(vote.keys for vote in votes))):
+    for key in sorted({VOTER_SET_KEY}.union(*(vote.keys for vote in votes))):
+        # The read writes the record once more, under the joint configuration.
         read = yield from proposer.read(key)
         if read.result is not Result.DONE:
             return False
-    new = joint.settled()
-    changed = yield from proposer.change(VOTERS, record, msgspec.msgpack.encode(new))
+    new = joint.complete_change()
+    changed = yield from proposer.change(VOTER_SET_KEY, record, msgspec.msgpack.encode(new))
     if changed.result is not Result.DONE:
         return False
     return proposer.seated(new)
--- a/myrtlecrank/fleet/register/voter_set.py
+++ b/myrtlecrank/fleet/register/voter_set.py
@@ -1,6 +1,8 @@
-"""Who votes. A roster is replaced by way of a joint one, in which a majority of the old voters and one
-of the new are both wanted, as published for replicated logs (Ongaro and Ousterhout, 2014). Free of I/O
-and clocks."""
+"""The set of voters of the register.
+
+A voter set is replaced by way of a joint configuration, in which a majority of the old voters and a
+majority of the new ones are both required, as published for replicated logs (Ongaro and Ousterhout, 2014).
+Free of I/O and clocks."""
 
 from __future__ import annotations
 
@@ -10,78 +12,91 @@
 import xxhash
 from msgspec import Struct
 
+UNKNOWN_NUMBER = -1  # of a voter set that was never chosen
+FOUNDING_NUMBER = 0
+
 
 class Roster(Struct, frozen=True):
-    """`number` grows by one with each change; `sets` holds one set of voters, or two while they are
-    changed: name to seat. A seat stands for one memory: who loses it on the disk and begins with an
-    empty one has another.
+    """A numbered voter set.
 
-    A roster below number 0 is a guess, from the operators' file: nothing is ever granted under it."""
+    `number` grows by one with each change. `sets` maps each voter's name to its identity; it holds one map,
+    or two (old and new) in a joint configuration. An identity stands for one memory: a voter that loses its
+    file and starts with an empty memory gets another one.
 
-    number: int = -1
+    A number below 0 marks a voter set that was taken from the operators' file and never chosen: it tells whom
+    to ask first, and no request is granted under it."""
+
+    number: int = UNKNOWN_NUMBER
     sets: tuple[dict[str, str], ...] = ()
 
     @property
     def names(self) -> tuple[str, ...]:
-        return tuple(sorted({name for one in self.sets for name in one}))
+        """The names of all voters, old and new, in order."""
+        return tuple(sorted({name for voters in self.sets for name in voters}))
 
     @property
     def joint(self) -> bool:
+        """Whether this is a joint configuration."""
         return len(self.sets) > 1
 
-    def mark(self) -> str:
-        """Equal for equal rosters alone."""
-        told = msgspec.msgpack.encode([sorted(one.items()) for one in self.sets])
-        return f"{self.number}:{xxhash.xxh3_64_hexdigest(told)}"
+    def fingerprint(self) -> str:
+        """A short text that is equal only for equal voter sets."""
+        encoded = msgspec.msgpack.encode([sorted(voters.items()) for voters in self.sets])
+        return f"{self.number}:{xxhash.xxh3_64_hexdigest(encoded)}"
 
     def seat(self, name: str) -> str | None:
-        """The newest seat of a voter; None where it has none."""
-        return next((one[name] for one in reversed(self.sets) if name in one), None)
+        """The newest identity of a voter; None if it has none."""
+        return next((voters[name] for voters in reversed(self.sets) if name in voters), None)
 
-    def has(self, name: str, seat: str) -> bool:
-        return any(one.get(name) == seat for one in self.sets)
+    def includes(self, name: str, identity: str) -> bool:
+        """Whether the voter of this name and identity votes."""
+        return any(voters.get(name) == identity for voters in self.sets)
 
-    def stands(self, granted: Iterable[tuple[str, str]]) -> bool:
-        """Whether these voters, by name and seat, are a majority of each set."""
+    def has_majority(self, granted: Iterable[tuple[str, str]]) -> bool:
+        """Whether these voters, given by name and identity, are a majority of each set."""
         votes = list(granted)
         return (
             bool(self.sets)
-            and self.number >= 0
-            and all(sum(one.get(name) == seat for name, seat in votes) > len(one) // 2 for one in self.sets)
+            and self.number >= FOUNDING_NUMBER
+            and all(
+                sum(voters.get(name) == identity for name, identity in votes) > len(voters) // 2
+                for voters in self.sets
+            )
         )
 
-    def changed(self, drop: Iterable[str], add: dict[str, str]) -> Roster:
-        """The joint roster by which voters go and come; `add` has the seat of each that comes. Raises
-        ValueError where it cannot be: one line for the operator."""
+    def begin_change(self, drop: Iterable[str], add: dict[str, str]) -> Roster:
+        """The joint configuration that drops and adds these voters; `add` maps names to identities.
+
+        Raises ValueError, with one line for the operator, if the change is not possible."""
         drop = set(drop)
         if self.joint:
             raise ValueError("a change of voters is under way already")
-        (now,) = self.sets
-        if unknown := sorted(drop - now.keys()):
-            raise ValueError(f"{unknown[0]!r} is no voter; there are {', '.join(sorted(now))}")
-        if there := sorted(add.keys() & (now.keys() - drop)):
-            raise ValueError(f"{there[0]!r} votes already")
-        new = {name: seat for name, seat in now.items() if name not in drop} | add
+        (current,) = self.sets
+        if unknown := sorted(drop - current.keys()):
+            raise ValueError(f"{unknown[0]!r} is no voter; the voters are {', '.join(sorted(current))}")
+        if present := sorted(add.keys() & (current.keys() - drop)):
+            raise ValueError(f"{present[0]!r} votes already")
+        new = {name: identity for name, identity in current.items() if name not in drop} | add
         if len(new) % 2 == 0:
-            raise ValueError(f"there would be {len(new)} voters; an odd number is wanted")
-        return Roster(self.number + 1, (now, new))
+            raise ValueError(f"there would be {len(new)} voters; expected an odd number")
+        return Roster(self.number + 1, (current, new))
 
-    def settled(self) -> Roster:
-        """What a joint roster leads to."""
+    def complete_change(self) -> Roster:
+        """The voter set that follows this joint configuration: the new voters alone."""
         return Roster(self.number + 1, self.sets[-1:])
 
 
-GUESS = Roster()
+UNKNOWN_VOTER_SET = Roster()
 
 
 def guessed(names: Iterable[str]) -> Roster:
-    """Of the operators' file: whom to ask first who really votes."""
-    return Roster(-1, (dict.fromkeys(sorted(names), ""),))
+    """The voters in the operators' file: whom to ask first which voter set was chosen."""
+    return Roster(UNKNOWN_NUMBER, (dict.fromkeys(sorted(names), ""),))
 
 
-def founding(names: Iterable[str]) -> Roster:
-    """The first roster of a fleet. Raises ValueError where the number is even."""
+def founding_voter_set(names: Iterable[str]) -> Roster:
+    """The first voter set of a fleet. Raises ValueError if the number of voters is even."""
     voters = dict.fromkeys(sorted(names), "")
     if len(voters) % 2 == 0:
-        raise ValueError(f"voters are an odd number, not {len(voters)}")
-    return Roster(0, (voters,))
+        raise ValueError(f"expected an odd number of voters, found {len(voters)}")
+    return Roster(FOUNDING_NUMBER, (voters,))
--- a/rig/multi_node/member.py
+++ b/rig/multi_node/member.py
@@ -14,7 +14,7 @@
 from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import decode, encode
 from myrtlecrank.fleet.register.messages import Known, Memory, Seated
-from myrtlecrank.fleet.register.voter_set import Roster, founding
+from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set
 from myrtlecrank.fleet.step_scheduler import Effect
 from rig.multi_node.environment import Host, World
 
@@ -61,7 +61,7 @@
         self.host, self.disk, self.send, self.flush_ms = host, disk, send, flush_ms
         memory = decode(disk.image) if disk.image is not None else None
         ident = f"{host.name}/{host.life}"
-        self.voter = Voter(host.name, guess, memory, self._keep, whole=trusted, ident=ident)
+        self.voter = Voter(host.name, guess, memory, self._keep, memory_is_trusted=trusted, instance_id=ident)
         self.waiting: list[tuple[str, Letter]] = []
         self.busy = False
         self._rejoin()
@@ -129,7 +129,7 @@
         self.voter: VoterHost | None = None
         self.woken = 0
         if name in plan.voters:
-            self.disk.image = encode(Memory("", name, 0, {}, {}, founding(plan.voters)))
+            self.disk.image = encode(Memory("", name, 0, {}, {}, founding_voter_set(plan.voters)))
 
     def start(self, trusted: bool = False) -> None:
         world, host = self.world, self.host
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -163,7 +163,7 @@
             and through(one, v)
             and through(v, one)
         ]
-        return self._runs(one) and self.roster().stands(reached)
+        return self._runs(one) and self.roster().has_majority(reached)
 
     def roster(self) -> Roster:
         """The newest that any voter goes by."""
--- a/rig/multi_node/ownership_model_check.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from myrtlecrank.fleet.ownership.lease import Duty, Lease, Look, Put, Terms
-from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
+from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 
 TERMS = Terms(lease=3.0, wait=4.0, renew=1.0, look=1.0, stagger=0.0, heir=2.0)
 NAMES = ("a/1", "b/1")
@@ -81,7 +81,7 @@
         if self.plant is not None:
             for duty in duties:
                 self.plant(duty)
-        record = NOTHING
+        record = EMPTY_RECORD
         if owned:
             first = duties[0]
             for _ in range(2):  # a look, then the taking
--- a/rig/multi_node/planted_faults.py
+++ b/rig/multi_node/planted_faults.py
@@ -10,7 +10,7 @@
 from myrtlecrank.fleet.ownership.lease import Lease, Put
 from myrtlecrank.fleet.register.disk import encode
 from myrtlecrank.fleet.register.messages import Memory
-from myrtlecrank.fleet.register.voter_set import founding
+from myrtlecrank.fleet.register.voter_set import founding_voter_set
 from rig.multi_node.environment import Host
 from rig.multi_node.member import Member
 from rig.multi_node.ownership_experiment import Play
@@ -88,7 +88,9 @@
         def make(start: Any, member: Member = member) -> Any:
             def started(trusted: bool = False) -> None:
                 if member.disk.image is None:
-                    member.disk.image = encode(Memory("", member.name, 0, {}, {}, founding(play.plan.voters)))
+                    member.disk.image = encode(
+                        Memory("", member.name, 0, {}, {}, founding_voter_set(play.plan.voters))
+                    )
                 start(trusted=True)
 
             return started
--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -18,9 +18,9 @@
 from myrtlecrank.fleet.register.calls import Calls, replies
 from myrtlecrank.fleet.register.caspaxos import Proposer, Voter
 from myrtlecrank.fleet.register.disk import decode, encode
-from myrtlecrank.fleet.register.messages import NOTHING, VOTERS, Memory, Outcome, Record, Result
+from myrtlecrank.fleet.register.messages import EMPTY_RECORD, VOTER_SET_KEY, Memory, Outcome, Record, Result
 from myrtlecrank.fleet.register.reconfiguration import Reseated
-from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
+from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
 from rig.multi_node.checkers import Op
 from rig.multi_node.member import PACKED, UNPACK, newest
 from rig.multi_node.register_history import Asker, judged
@@ -52,8 +52,8 @@
         self.lives += 1
         name, random = self.name, self.play.random
         self.calls = Calls(1.0, lambda to, message: self.play.send(name, to, message))
-        self.proposer = Proposer(f"{name}/{self.lives}", guessed(FOUNDERS), random.random, tries=4)
-        last = self.asker.last if self.asker is not None else NOTHING
+        self.proposer = Proposer(f"{name}/{self.lives}", guessed(FOUNDERS), random.random, max_attempts=4)
+        last = self.asker.last if self.asker is not None else EMPTY_RECORD
         self.asker = Asker(self.proposer, self.play.history, random.random, last)
         self.changed = 0
 
@@ -65,7 +65,7 @@
             return  # so that voters are replaced between what the others do
         if self.changes:
             self.changed += 1
-            token = f"{self.proposer.ident}:{self.changed}"
+            token = f"{self.proposer.proposer_id}:{self.changed}"
             now = sorted(self.proposer.roster.names)
             drop, add = [play.random.choice(now)], [play.random.choice(ALL)]
             if play.random.random() < 0.2:
@@ -88,7 +88,7 @@
         self.history: list[Op] = []
         self.bag: list[Sent] = []
         self.images: dict[str, bytes] = {
-            name: encode(Memory("", name, 0, {}, {}, founding(FOUNDERS))) for name in FOUNDERS
+            name: encode(Memory("", name, 0, {}, {}, founding_voter_set(FOUNDERS))) for name in FOUNDERS
         }
         self.voters: dict[str, Voter] = {}
         for name in ALL:
@@ -104,7 +104,7 @@
             return True
 
         memory = decode(raw) if raw is not None else None
-        self.voters[name] = Voter(name, FOUNDERS, memory, keep, ident=f"{name}/{self.starts}")
+        self.voters[name] = Voter(name, FOUNDERS, memory, keep, instance_id=f"{name}/{self.starts}")
 
     def send(self, source: str, target: str, message: Message) -> None:
         caller = self.callers.get(source) or self.callers.get(target)
@@ -199,22 +199,24 @@
 
 def no_joint() -> Undo:
     """The new voters stand at once, without a majority of the old ones."""
-    real = Roster.changed
+    real = Roster.begin_change
 
     def changed(roster: Roster, drop: Iterable[str], add: dict[str, str]) -> Roster:
         return Roster(roster.number + 1, real(roster, drop, add).sets[-1:])
 
-    return _put(Roster, "changed", changed)
+    return _put(Roster, "begin_change", changed)
 
 
 def no_rewrite() -> Undo:
     """The new voters stand alone before they hold what was chosen."""
 
     def settled(proposer: Proposer, record: Record, joint: Roster) -> Any:
-        changed: Outcome = yield from proposer.change(VOTERS, record, msgspec.msgpack.encode(joint.settled()))
-        return changed.result is Result.DONE and proposer.seated(joint.settled())
+        changed: Outcome = yield from proposer.change(
+            VOTER_SET_KEY, record, msgspec.msgpack.encode(joint.complete_change())
+        )
+        return changed.result is Result.DONE and proposer.seated(joint.complete_change())
 
-    return _put(reseating, "settle", settled)
+    return _put(reseating, "complete_reconfiguration", settled)
 
 
 def any_roster() -> Undo:
@@ -222,10 +224,15 @@
     real = Voter._answer
 
     def answer(voter: Voter, mark: str, asked: Any) -> Any:
-        if mark.startswith("-") or not hasattr(asked, "key") or voter.lost or voter.memory.roster.number < 0:
+        if (
+            mark.startswith("-")
+            or not hasattr(asked, "key")
+            or voter.memory_is_lost
+            or voter.memory.roster.number < 0
+        ):
             return real(voter, mark, asked)
         was, voter.voting = voter.voting, True
-        vote = real(voter, voter.memory.roster.mark(), asked)
+        vote = real(voter, voter.memory.roster.fingerprint(), asked)
         voter.voting = was
         return vote
 
--- a/rig/multi_node/register_history.py
+++ b/rig/multi_node/register_history.py
@@ -13,9 +13,9 @@
 from myrtlecrank.fleet.register.calls import Calls, Letter
 from myrtlecrank.fleet.register.caspaxos import Call, Proposer
 from myrtlecrank.fleet.register.disk import encode
-from myrtlecrank.fleet.register.messages import NOTHING, Memory, Outcome, Record, Result
+from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Memory, Outcome, Record, Result
 from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
-from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
+from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
 from rig.multi_node.checkers import Op, linearizable
 from rig.multi_node.environment import Host, World
 from rig.multi_node.member import PACKED, UNPACK, Disk, VoterHost, newest
@@ -56,7 +56,7 @@
     what it last saw."""
 
     def __init__(
-        self, proposer: Proposer, history: list[Op], chance: Callable[[], float], last: Record = NOTHING
+        self, proposer: Proposer, history: list[Op], chance: Callable[[], float], last: Record = EMPTY_RECORD
     ) -> None:
         self.proposer, self.history, self.chance, self.last = proposer, history, chance, last
 
@@ -65,7 +65,7 @@
             op = Op(now, float("inf"), "unseen")
             call = self.proposer.read(KEY)
         else:
-            writer = f"{self.proposer.ident}:{self.proposer.calls + 1}"
+            writer = f"{self.proposer.proposer_id}:{self.proposer.call_count + 1}"
             op = Op(now, float("inf"), "maybe", over=self.last.writer, wrote=writer)
             call = self.proposer.change(KEY, self.last, b"x")
         self.history.append(op)
@@ -103,8 +103,8 @@
         self.host.up, self.host.life = True, self.host.life + 1
         self.calls = Calls(30.0, lambda to, asked: self.play.send(name, to, asked))
         ident, chance = f"{self.name}/{self.host.life}", self.play.world.random.random
-        self.proposer = Proposer(ident, guessed(self.play.founders), chance, tries=4, pause_ms=5.0)
-        last = self.asker.last if self.asker is not None else NOTHING
+        self.proposer = Proposer(ident, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0)
+        last = self.asker.last if self.asker is not None else EMPTY_RECORD
         self.asker = Asker(self.proposer, self.play.history, chance, last)
         if self.play.plant is not None:
             self.play.plant(self)
@@ -148,7 +148,7 @@
         if random.random() < 0.2:
             drop, add = [], []  # ends what stands half-way, as any member does after a while
         self.number = getattr(self, "number", 0) + 1
-        token = f"{self.proposer.ident}:{self.number}"
+        token = f"{self.proposer.proposer_id}:{self.number}"
         self.calls.start(reseat(self.proposer, drop, add, token), self.ended, play.world.now)
         self.tick()
 
@@ -190,7 +190,7 @@
         self.nodes = {name: Node(self, name) for name in self.names}
         for name, node in self.nodes.items():
             if name in self.founders:
-                node.disk.image = encode(Memory("", name, 0, {}, {}, founding(self.founders)))
+                node.disk.image = encode(Memory("", name, 0, {}, {}, founding_voter_set(self.founders)))
             node.start(trusted=True)
         self.clients = {name: Client(self, name) for name in ("a", "b", "c")}
         if change:
@@ -240,7 +240,7 @@
             elif kind == "old" and not self.trusted:
                 node.disk.image = random.choice(node.disk.copies)
             if self.forget and node.disk.image is None:
-                node.disk.image = encode(Memory("", node.name, 0, {}, {}, founding(self.founders)))
+                node.disk.image = encode(Memory("", node.name, 0, {}, {}, founding_voter_set(self.founders)))
             world.at(world.now + ms, lambda: node.start(self.trusted or self.forget))
         world.at(world.now + random.expovariate(1.0 / 25.0), self.fault)
 
@@ -285,4 +285,4 @@
 
 def ballot_again(client: Client) -> None:
     """Planted: two starts of one process are one to the voters."""
-    client.proposer.ident = client.name
+    client.proposer.proposer_id = client.name
--- a/rig/multi_node/register_model_check.py
+++ b/rig/multi_node/register_model_check.py
@@ -11,12 +11,21 @@
 import msgspec
 
 from myrtlecrank.fleet.register.caspaxos import Pause, Proposer, Round, Voter
-from myrtlecrank.fleet.register.messages import NOTHING, Accept, Memory, Outcome, Prepare, Result, Slot, Vote
-from myrtlecrank.fleet.register.voter_set import founding
+from myrtlecrank.fleet.register.messages import (
+    EMPTY_RECORD,
+    Accept,
+    Memory,
+    Outcome,
+    Prepare,
+    Result,
+    Slot,
+    Vote,
+)
+from myrtlecrank.fleet.register.voter_set import founding_voter_set
 
 NAMES = ("a", "b", "c")
-ROSTER = founding(NAMES)
-MARK = ROSTER.mark()
+ROSTER = founding_voter_set(NAMES)
+MARK = ROSTER.fingerprint()
 Votes = tuple[Vote, ...]
 
 
@@ -54,8 +63,8 @@
         """All requests that a proposer has made after being resumed so, and its outcome if it has ended."""
         key = (side, PACK.encode(resumed))
         if key not in self.steps:
-            proposer = Proposer(f"p{side}", ROSTER, lambda: 0.5, tries=self.tries)
-            call = proposer.change("k", NOTHING, b"%d" % side)
+            proposer = Proposer(f"p{side}", ROSTER, lambda: 0.5, max_attempts=self.tries)
+            call = proposer.change("k", EMPTY_RECORD, b"%d" % side)
             asked: list[Prepare | Accept] = []
             outcome = None
             try:
@@ -65,9 +74,9 @@
                     if isinstance(step, Pause):
                         step = call.send([])
                         continue
-                    if not isinstance(step.ask, Prepare | Accept):
+                    if not isinstance(step.request, Prepare | Accept):
                         raise AssertionError("a change glances at nothing")
-                    asked.append(step.ask)
+                    asked.append(step.request)
                     if not waiting:
                         break
                     step = call.send(list(waiting.pop(0)))
@@ -114,7 +123,7 @@
                 if outcome is None and i == len(asked) - 1:
                     heard = Side(rest.resumed, (*rest.votes, vote), rest.sent)
                     step = Round(asked[i], ROSTER)
-                    if step.settled(heard.votes) or len(heard.votes) == 3:
+                    if step.is_decided(heard.votes) or len(heard.votes) == 3:
                         heard = self._resumed(number, heard, len(asked))
                     self._go(after, sides, number, heard, left)
             if outcome is None:
@@ -132,7 +141,7 @@
         if self.broken and slot is not None:
             memory.slots["k"] = Slot(type(slot.promised)(), slot.accepted, slot.record)
         voter = Voter(name, NAMES, memory, lambda _: True)
-        (vote,) = voter.answers([(MARK, ask)])
+        (vote,) = voter.answer_batch([(MARK, ask)])
         if vote is None:
             raise AssertionError("this voter votes")
         return vote, memory.slots.get("k")
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -13,7 +13,7 @@
 from myrtlecrank.fleet.membership.swim import Pace
 from myrtlecrank.fleet.options import Bounds, DutyOf, taken_over, waiting
 from myrtlecrank.fleet.ownership.lease import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
-from myrtlecrank.fleet.register.messages import NOTHING, Outcome, Record, Result
+from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 from myrtlecrank.fleet.step_scheduler import Effect, Steps, Work
 from rig.multi_node.ownership_model_check import Walk, believes_a_glance, counts_from_the_answer, one_turn
 
@@ -21,7 +21,7 @@
 
 
 def record(lease: Lease, version: int = 1, writer: str = "") -> Record:
-    return Record(version, Put(NOTHING, lease).value(), writer or f"{lease.owner}:{lease.turn}")
+    return Record(version, Put(EMPTY_RECORD, lease).value(), writer or f"{lease.owner}:{lease.turn}")
 
 
 def stands(rec: Record) -> Outcome:
@@ -37,7 +37,7 @@
 def taken(me: str = "a/1", now: float = 0.0) -> Duty:
     """A duty that `me` took at `now`."""
     duty = Duty("d", me, TERMS)
-    looked(duty, NOTHING, now)
+    looked(duty, EMPTY_RECORD, now)
     duty.due = now
     asked = duty.want(now, True, 0)
     assert isinstance(asked, Put)
@@ -82,14 +82,14 @@
 
 def test_an_unfit_one_only_looks() -> None:
     duty = Duty("d", "b/1", TERMS)
-    looked(duty, NOTHING, 0.0)
+    looked(duty, EMPTY_RECORD, 0.0)
     duty.due = 0.0
     assert duty.want(10_000.0, False, 0) == Look(False)
 
 
 def test_those_with_duties_claim_later() -> None:
     duty = Duty("d", "b/1", TERMS)
-    looked(duty, NOTHING, 0.0)
+    looked(duty, EMPTY_RECORD, 0.0)
     assert duty.free_at(0) == 0.0 and duty.free_at(3) == 3.0 * TERMS.stagger
 
 
@@ -193,7 +193,7 @@
 
 def test_a_lease_reads_back_as_it_was_written() -> None:
     lease = Lease("a/1", 3, 9, "b", 17)
-    assert opened(record(lease)) == lease and opened(NOTHING) == Lease()
+    assert opened(record(lease)) == lease and opened(EMPTY_RECORD) == Lease()
 
 
 OWNERS = {"d1": "a", "d2": "a", "d3": "a", "d4": "b"}
--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -10,11 +10,11 @@
 from myrtlecrank.fleet.messages import Asked, Voted
 from myrtlecrank.fleet.register import disk as disks
 from myrtlecrank.fleet.register.calls import Calls, replies
-from myrtlecrank.fleet.register.caspaxos import BOOTS_A_ROSTER, Proposer, Voter
+from myrtlecrank.fleet.register.caspaxos import BOOTS_PER_VOTER_SET, Proposer, Voter
 from myrtlecrank.fleet.register.messages import (
-    NOTHING,
+    EMPTY_RECORD,
+    AddVoter,
     Ballot,
-    Enlist,
     Known,
     Memory,
     Outcome,
@@ -25,12 +25,12 @@
     Seated,
 )
 from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
-from myrtlecrank.fleet.register.voter_set import Roster, founding, guessed
+from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
 from rig.multi_node import reconfiguration_fuzz, register_history
 
-ABC = founding("abc")
-JOINT = ABC.changed("c", {"d": "d/1:1"})
-ABD = JOINT.settled()
+ABC = founding_voter_set("abc")
+JOINT = ABC.begin_change("c", {"d": "d/1:1"})
+ABD = JOINT.complete_change()
 
 
 class Net:
@@ -64,7 +64,7 @@
         return self.start(name)
 
     def proposer(self, ident: str = "p", roster: Roster | None = None) -> Proposer:
-        return Proposer(ident, roster or guessed("abc"), lambda: 0.5, tries=3)
+        return Proposer(ident, roster or guessed("abc"), lambda: 0.5, max_attempts=3)
 
     def run(self, call: Any) -> Any:
         ended: list[Any] = []
@@ -103,7 +103,7 @@
 
 
 def written(net: Net, key: str = "k") -> Record:
-    outcome: Outcome = net.run(net.proposer("w").change(key, NOTHING, b"x"))
+    outcome: Outcome = net.run(net.proposer("w").change(key, EMPTY_RECORD, b"x"))
     assert outcome.result is Result.DONE
     return outcome.record
 
@@ -115,19 +115,23 @@
     votes = {"a": "", "b": "", "c": "", "d": "d/1:1"}
 
     def stands(names: str, **seats: str) -> bool:
-        return JOINT.stands((name, (votes | seats)[name]) for name in names)
+        return JOINT.has_majority((name, (votes | seats)[name]) for name in names)
 
     assert stands("ab") and stands("bcd") and not stands("ad") and not stands("bc") and not stands("cd")
     assert not stands("ad", d="another seat")
-    assert ABD.stands([("a", ""), ("d", "d/1:1")]) and not ABD.stands([("a", ""), ("d", "")])
+    assert ABD.has_majority([("a", ""), ("d", "d/1:1")]) and not ABD.has_majority([("a", ""), ("d", "")])
 
 
 def test_under_a_guess_nothing_stands() -> None:
-    assert not guessed("abc").stands([("a", ""), ("b", ""), ("c", "")])
+    assert not guessed("abc").has_majority([("a", ""), ("b", ""), ("c", "")])
 
 
 def test_marks_tell_rosters_apart_that_have_one_number() -> None:
-    assert founding("abc").mark() == founding("cba").mark() != founding("abd").mark()
+    assert (
+        founding_voter_set("abc").fingerprint()
+        == founding_voter_set("cba").fingerprint()
+        != founding_voter_set("abd").fingerprint()
+    )
 
 
 @pytest.mark.parametrize(
@@ -141,9 +145,9 @@
 )
 def test_a_roster_that_cannot_be_is_told_in_one_line(drop: str, add: str, message: str) -> None:
     with pytest.raises(ValueError, match=message):
-        ABC.changed(drop, dict.fromkeys(add, "s"))
+        ABC.begin_change(drop, dict.fromkeys(add, "s"))
     with pytest.raises(ValueError, match="under way"):
-        JOINT.changed("a", {})
+        JOINT.begin_change("a", {})
 
 
 # -- voters and rosters
@@ -151,30 +155,30 @@
 
 def test_a_voter_refuses_what_was_asked_under_another_roster_and_names_its_own(net: Net) -> None:
     a = net.voters["a"]
-    assert a.adopt(JOINT) and not a.adopt(ABC)
-    (vote,) = a.answers([(ABC.mark(), Prepare("k", Ballot(9, "p")))])
+    assert a.adopt_voter_set(JOINT) and not a.adopt_voter_set(ABC)
+    (vote,) = a.answer_batch([(ABC.fingerprint(), Prepare("k", Ballot(9, "p")))])
     assert vote is not None and not vote.granted and vote.roster == JOINT and not a.memory.slots
     assert net.start("a").memory.roster == JOINT, "it never goes back to an older one"
 
 
 def test_a_roster_that_cannot_be_kept_is_not_gone_by() -> None:
     a = Voter("a", "abc", Memory("f", "a", 0, {}, {}, ABC), lambda _: False, "f")
-    assert not a.adopt(JOINT) and a.memory.roster == ABC
+    assert not a.adopt_voter_set(JOINT) and a.memory.roster == ABC
 
 
 def test_a_voter_that_is_dropped_says_nothing_more_and_tells_who_votes(net: Net) -> None:
     c = net.voters["c"]
-    c.adopt(ABD)
+    c.adopt_voter_set(ABD)
     assert not c.voting and c.rejoin() is None
-    (vote,) = c.answers([(ABD.mark(), Prepare("k", Ballot(1, "p")))])
-    assert vote is None and c.asked(Rejoin("a", 1)) == Seated(ABD)
+    (vote,) = c.answer_batch([(ABD.fingerprint(), Prepare("k", Ballot(1, "p")))])
+    assert vote is None and c.answer_rejoin(Rejoin("a", 1)) == Seated(ABD)
 
 
 def test_what_was_forgotten_is_not_written_down_as_a_memory(net: Net) -> None:
     """A voter without its memory hears of a roster and restarts before it has rejoined: with a file of that
     it would pass for one that forgot nothing."""
     a = net.lose("a")
-    a.adopt(JOINT)
+    a.adopt_voter_set(JOINT)
     assert not a.voting and "a" not in net.kept and not net.start("a").voting
 
 
@@ -193,26 +197,28 @@
 
 def test_enlisting_twice_with_one_token_seats_once(net: Net) -> None:
     d = net.voters["d"]
-    d.adopt(ABC)
-    first, again, other = (d.answers([(ABC.mark(), Enlist(token))])[0] for token in ("t", "t", "u"))
+    d.adopt_voter_set(ABC)
+    first, again, other = (
+        d.answer_batch([(ABC.fingerprint(), AddVoter(token))])[0] for token in ("t", "t", "u")
+    )
     assert first is not None and again is not None and other is not None
-    assert first.seat == again.seat != other.seat and first.boot == BOOTS_A_ROSTER
+    assert first.identity == again.identity != other.identity and first.boot == BOOTS_PER_VOTER_SET
 
 
 def test_a_voter_with_a_whole_memory_is_not_enlisted_over_it(net: Net) -> None:
-    assert net.voters["a"].answers([(ABC.mark(), Enlist("t"))]) == [None]
+    assert net.voters["a"].answer_batch([(ABC.fingerprint(), AddVoter("t"))]) == [None]
 
 
 def test_an_older_copy_of_an_enlisted_voters_disk_does_not_vote_at_once(net: Net) -> None:
     d = net.voters["d"]
-    d.adopt(ABC)
-    d.answers([(ABC.mark(), Enlist("t"))])
-    joint = ABC.changed("c", {"d": d.memory.seat})
-    assert d.adopt(joint) and d.voting
-    d.answers([(joint.mark(), Prepare("k", Ballot(5, "p")))])
+    d.adopt_voter_set(ABC)
+    d.answer_batch([(ABC.fingerprint(), AddVoter("t"))])
+    joint = ABC.begin_change("c", {"d": d.memory.seat})
+    assert d.adopt_voter_set(joint) and d.voting
+    d.answer_batch([(joint.fingerprint(), Prepare("k", Ballot(5, "p")))])
     net.kept["d"] = disks.encode(Memory("f", "d", 0, {}, {}, ABC, d.memory.seat, "t"))
     old = net.start("d", whole=False)
-    assert old.adopt(joint) and not old.voting and old.rejoin() is not None
+    assert old.adopt_voter_set(joint) and not old.voting and old.rejoin() is not None
 
 
 # -- the change
@@ -221,7 +227,7 @@
 def test_a_voter_is_replaced_and_what_was_chosen_stands(net: Net) -> None:
     record = written(net)
     how = net.reseat("c", "d")
-    assert not how.wrong and how.roster.names == ("a", "b", "d") and how.roster.number == 2
+    assert not how.wrong and how.voter_set.names == ("a", "b", "d") and how.voter_set.number == 2
     net.away = {"a", "c"}
     assert net.run(net.proposer("r").read("k")) == Outcome(Result.DONE, record), "b and d are enough"
 
@@ -234,7 +240,7 @@
     assert net.run(net.proposer("r").read("k")).record == record
     net.away = set()
     assert net.run(net.proposer("old", ABC).change("k", record, b"y")).result is Result.DONE
-    assert net.reseat("a", "c", "back").roster.names == ("b", "c", "d")
+    assert net.reseat("a", "c", "back").voter_set.names == ("b", "c", "d")
 
 
 def test_the_old_voters_alone_choose_nothing_more(net: Net) -> None:
@@ -243,7 +249,7 @@
     net.away = {"d"}
     stale = net.proposer("stale", ABC)
     ballot = Prepare("k", Ballot(50, "stale"))
-    votes = [net.voters[name].answers([(ABC.mark(), ballot)])[0] for name in "abc"]
+    votes = [net.voters[name].answer_batch([(ABC.fingerprint(), ballot)])[0] for name in "abc"]
     assert [vote is not None and vote.granted for vote in votes] == [False, False, True]
     assert net.run(stale.read("k")).result is Result.DONE and stale.roster.names == ("a", "b", "d")
 
@@ -257,14 +263,14 @@
     net.away = set()
     old = net.voters["c"].memory.seat
     how = net.reseat("c", "c")
-    assert not how.wrong and how.roster.seat("c") != old
+    assert not how.wrong and how.voter_set.seat("c") != old
     assert net.voters["c"].voting and net.voters["c"].memory.slots["k"].record == record
 
 
 def test_one_that_lost_its_new_seat_too_does_not_vote_under_it(net: Net) -> None:
     net.reseat("c", "d")
     net.lose("d")
-    (vote,) = net.voters["d"].answers([(ABD.mark(), Prepare("k", Ballot(1, "p")))])
+    (vote,) = net.voters["d"].answer_batch([(ABD.fingerprint(), Prepare("k", Ballot(1, "p")))])
     assert vote is not None and not vote.granted
     assert net.voters["d"].rejoin() is None, "by the operators' file it never voted"
     net.run(net.proposer("r").read("k"))  # asked under the newer roster, it hears that it does
@@ -273,10 +279,10 @@
 
 def test_from_three_to_five_and_back(net: Net) -> None:
     record = written(net)
-    assert net.reseat("", "de").roster.names == ("a", "b", "c", "d", "e")
+    assert net.reseat("", "de").voter_set.names == ("a", "b", "c", "d", "e")
     net.away = {"a", "b"}
     assert net.run(net.proposer("r").read("k")).record == record
-    assert net.reseat("ab", "", "back").roster.names == ("c", "d", "e")
+    assert net.reseat("ab", "", "back").voter_set.names == ("c", "d", "e")
 
 
 def test_a_change_that_stands_half_way_is_ended_by_another(net: Net) -> None:
@@ -289,7 +295,7 @@
         if not net.run(cut(call, rounds)):
             break
         how = net.reseat("", "", "second")
-        assert not how.wrong and not how.roster.joint, rounds
+        assert not how.wrong and not how.voter_set.joint, rounds
         assert net.run(net.proposer("r").read("k")).record == record
     assert 10 < rounds < 39
 
@@ -310,7 +316,7 @@
     first = reseat(net.proposer("first"), "c", "d", "first")
     net.run(cut(first, 6))
     second = net.reseat("b", "e", "second")
-    assert not second.wrong and not second.roster.joint and "e" in second.roster.names
+    assert not second.wrong and not second.voter_set.joint and "e" in second.voter_set.names
 
 
 @pytest.mark.parametrize(
@@ -324,11 +330,11 @@
     how = net.reseat(drop, add)
     assert message in how.wrong and "\n" not in how.wrong
     net.away = set()
-    assert net.reseat("", "", "look").roster == ABC
+    assert net.reseat("", "", "look").voter_set == ABC
 
 
 def test_a_memory_of_the_version_before_is_read() -> None:
-    old = disks.MemoryBefore("f", "a", 3, {}, {"b": 2}, ["a", "b", "c"])
+    old = disks.MemoryVersion1("f", "a", 3, {}, {"b": 2}, ["a", "b", "c"])
     body = disks.msgspec.msgpack.encode(old)
     raw = disks.HEADER.pack(disks.MAGIC, 1, len(body), disks.xxhash.xxh3_128_digest(body)) + body
     assert disks.decode(raw) == Memory("f", "a", 3, {}, {"b": 2}, ABC)
@@ -341,7 +347,7 @@
     old = Voter("a", "abc", Memory("f", "a", 0, {}, {}, ABC), lambda _: True, "f")
     first = sent[0][1]
     assert isinstance(first, Asked)
-    (refusal,) = old.answers([(first.mark, first.ask)])
+    (refusal,) = old.answer_batch([(first.mark, first.ask)])
     assert refusal is not None
     del sent[:]
     for _ in range(3):
@@ -351,16 +357,18 @@
 
 def test_an_answer_from_one_that_knows_a_newer_roster_is_no_memory_to_go_on_from(net: Net) -> None:
     a = net.start("a", whole=False)
-    assert not a.told(Known("b", 0, a.memory.boot, 0, {}, {}, ABD))
+    assert not a.accept_rejoin_answer(Known("b", 0, a.memory.boot, 0, {}, {}, ABD))
     assert a.memory.roster == ABD and set(a.heard) == {"b"} and not a.voting
 
 
 def test_voters_that_were_founded_apart_are_told(net: Net) -> None:
-    net.voters["c"] = Voter("c", "abc", Memory("f", "c", 0, {}, {}, founding("cde")), lambda _: True, "f")
+    net.voters["c"] = Voter(
+        "c", "abc", Memory("f", "c", 0, {}, {}, founding_voter_set("cde")), lambda _: True, "f"
+    )
     net.away = {"b"}
     proposer = net.proposer("p", ABC)
     assert net.run(proposer.read("k")).result is Result.AWAY
-    assert proposer.unlike == founding("cde") and proposer.roster == ABC
+    assert proposer.unlike == founding_voter_set("cde") and proposer.roster == ABC
 
 
 # -- histories
@@ -386,14 +394,14 @@
 
 def test_a_planted_bug_is_taken_away_again() -> None:
     before = (
-        reconfiguration_fuzz.Roster.changed,
-        reconfiguration_fuzz.reseating.settle,
+        reconfiguration_fuzz.Roster.begin_change,
+        reconfiguration_fuzz.reseating.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     )
     for bug in reconfiguration_fuzz.BUGS:
         reconfiguration_fuzz.play(1, bug=bug)
     assert (
-        reconfiguration_fuzz.Roster.changed,
-        reconfiguration_fuzz.reseating.settle,
+        reconfiguration_fuzz.Roster.begin_change,
+        reconfiguration_fuzz.reseating.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     ) == before
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -12,16 +12,15 @@
 
 from myrtlecrank.fleet.ownership.lease import Lease
 from myrtlecrank.fleet.register import disk as disks
-from myrtlecrank.fleet.register.caspaxos import MOST_KEYS, Pause, Proposer, Round, Voter, counted
+from myrtlecrank.fleet.register.caspaxos import MAX_KEYS, Pause, Proposer, Round, Voter, valid_grants
 from myrtlecrank.fleet.register.messages import (
-    LONGEST_VALUE,
-    NOTHING,
+    EMPTY_RECORD,
+    MAX_VALUE_BYTES,
     Accept,
+    AddVoter,
     Ballot,
-    Enlist,
-    Glance,
-    Keys,
     Known,
+    ListKeys,
     Memory,
     Outcome,
     Prepare,
@@ -31,16 +30,17 @@
     Result,
     Seated,
     Slot,
+    UnverifiedRead,
     Vote,
 )
 from myrtlecrank.fleet.register.sqlite import SqliteRegister
-from myrtlecrank.fleet.register.voter_set import founding
+from myrtlecrank.fleet.register.voter_set import founding_voter_set
 from rig.multi_node import register_history
 from rig.multi_node.checkers import Op, linearizable
 from rig.multi_node.register_model_check import Walk
 
 NAMES = ("a", "b", "c")
-ROSTER = founding(NAMES)
+ROSTER = founding_voter_set(NAMES)
 
 
 def voter(name: str = "a", memory: Memory | None = None, whole: bool = True, keeps: bool = True) -> Voter:
@@ -49,11 +49,11 @@
 
 
 def lost(name: str) -> Voter:
-    return Voter(name, NAMES, None, lambda _: True, "f", ident=f"{name}/2")
+    return Voter(name, NAMES, None, lambda _: True, "f", instance_id=f"{name}/2")
 
 
 def one(vote: Voter, asked: Any) -> Vote | None:
-    return vote.answers([(ROSTER.mark(), asked)])[0]
+    return vote.answer_batch([(ROSTER.fingerprint(), asked)])[0]
 
 
 class Quorum:
@@ -65,9 +65,9 @@
         if voters is None:
             for disk in self.disks.values():
                 disk.found(NAMES)
-            voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].keep, "f") for n in NAMES}
+            voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].save, "f") for n in NAMES}
         self.voters, self.away = voters, set[str]()
-        self.proposer = Proposer(ident, ROSTER, lambda: 0.5, tries=3)
+        self.proposer = Proposer(ident, ROSTER, lambda: 0.5, max_attempts=3)
 
     def _run(self, call: Any) -> Outcome:
         votes = None
@@ -78,10 +78,10 @@
                 return end.value  # type: ignore[no-any-return]
             votes = []
             if isinstance(step, Round):
-                answers = [one(v, step.ask) for n, v in self.voters.items() if n not in self.away]
+                answers = [one(v, step.request) for n, v in self.voters.items() if n not in self.away]
                 votes = [vote for vote in answers if vote is not None]
             else:
-                assert isinstance(step, Pause) and 0.0 < step.ms < 1000.0
+                assert isinstance(step, Pause) and 0.0 < step.duration_ms < 1000.0
 
     def read(self, key: str) -> Outcome:
         return self._run(self.proposer.read(key))
@@ -108,11 +108,11 @@
 
 
 def test_a_key_nobody_wrote_stands_at_version_0(pair: tuple[Register, Register]) -> None:
-    assert pair[0].read("k") == Outcome(Result.DONE, NOTHING)
+    assert pair[0].read("k") == Outcome(Result.DONE, EMPTY_RECORD)
 
 
 def test_a_change_is_seen_by_the_other_and_versions_rise_by_one(pair: tuple[Register, Register]) -> None:
-    first = pair[0].change("k", NOTHING, b"x")
+    first = pair[0].change("k", EMPTY_RECORD, b"x")
     assert first.result is Result.DONE and first.record.version == 1
     assert pair[1].read("k").record == first.record == pair[1].glance("k").record
     second = pair[1].change("k", first.record, b"y")
@@ -122,8 +122,8 @@
 def test_a_change_over_what_no_longer_stands_changes_nothing_and_tells_what_does(
     pair: tuple[Register, Register],
 ) -> None:
-    first = pair[0].change("k", NOTHING, b"x")
-    assert pair[1].change("k", NOTHING, b"y") == Outcome(Result.CONFLICT, first.record)
+    first = pair[0].change("k", EMPTY_RECORD, b"x")
+    assert pair[1].change("k", EMPTY_RECORD, b"y") == Outcome(Result.CONFLICT, first.record)
     assert pair[0].read("k").record.value == b"x"
 
 
@@ -132,30 +132,32 @@
 ) -> None:
     """Two calls may have tried for one version; a change over the one that lost must not pass for the
     other."""
-    pair[0].change("k", NOTHING, b"x")
+    pair[0].change("k", EMPTY_RECORD, b"x")
     assert pair[1].change("k", Record(1, b"x", "somebody else"), b"y").result is Result.CONFLICT
 
 
 def test_keys_are_apart(pair: tuple[Register, Register]) -> None:
-    pair[0].change("k", NOTHING, b"x")
-    assert pair[0].read("other").record is NOTHING or pair[0].read("other").record == NOTHING
+    pair[0].change("k", EMPTY_RECORD, b"x")
+    assert pair[0].read("other").record is EMPTY_RECORD or pair[0].read("other").record == EMPTY_RECORD
 
 
-@pytest.mark.parametrize(("key", "value"), [("", b""), ("k" * 201, b""), ("k", b"x" * (LONGEST_VALUE + 1))])
+@pytest.mark.parametrize(("key", "value"), [("", b""), ("k" * 201, b""), ("k", b"x" * (MAX_VALUE_BYTES + 1))])
 def test_what_is_too_long_is_an_error_and_leaves_nothing(
     pair: tuple[Register, Register], key: str, value: bytes
 ) -> None:
     with pytest.raises(ValueError, match="not"):
-        pair[0].change(key, NOTHING, value)
-    assert pair[0].read("k").record == NOTHING
+        pair[0].change(key, EMPTY_RECORD, value)
+    assert pair[0].read("k").record == EMPTY_RECORD
 
 
 def test_another_processs_lock_is_waited_for_no_longer_than_told(tmp_path: Path) -> None:
-    holder, waiter = (SqliteRegister(str(tmp_path / "r.db"), who, wait_ms=30.0) for who in ("one", "two"))
-    holder.base.execute("BEGIN IMMEDIATE")
-    assert waiter.change("k", NOTHING, b"x").result is Result.AWAY
-    holder.base.execute("ROLLBACK")
-    assert waiter.change("k", NOTHING, b"x").result is Result.DONE
+    holder, waiter = (
+        SqliteRegister(str(tmp_path / "r.db"), who, lock_timeout_ms=30.0) for who in ("one", "two")
+    )
+    holder.connection.execute("BEGIN IMMEDIATE")
+    assert waiter.change("k", EMPTY_RECORD, b"x").result is Result.AWAY
+    holder.connection.execute("ROLLBACK")
+    assert waiter.change("k", EMPTY_RECORD, b"x").result is Result.DONE
     holder.close()
     waiter.close()
 
@@ -167,19 +169,19 @@
     register = Quorum(tmp_path, "one")
     register.away = {"a", "b"}
     assert register.read("k").result is register.glance("k").result is Result.AWAY
-    assert register.change("k", NOTHING, b"x").result is Result.AWAY
+    assert register.change("k", EMPTY_RECORD, b"x").result is Result.AWAY
     register.away = {"c"}
-    assert register.read("k").record == NOTHING
+    assert register.read("k").record == EMPTY_RECORD
 
 
 def test_a_majority_that_goes_between_the_rounds_leaves_the_outcome_unknown(tmp_path: Path) -> None:
     register = Quorum(tmp_path, "one")
-    call = register.proposer.change("k", NOTHING, b"x")
+    call = register.proposer.change("k", EMPTY_RECORD, b"x")
     step = next(call)
-    votes = [one(v, step.ask) for v in register.voters.values()]  # type: ignore[union-attr]
+    votes = [one(v, step.request) for v in register.voters.values()]  # type: ignore[union-attr]
     step = call.send([vote for vote in votes if vote is not None])
-    assert isinstance(step, Round) and isinstance(step.ask, Accept)
-    only = one(register.voters["a"], step.ask)
+    assert isinstance(step, Round) and isinstance(step.request, Accept)
+    only = one(register.voters["a"], step.request)
     assert only is not None
     votes_now: list[Vote] = [only]
     with pytest.raises(StopIteration) as end:
@@ -204,11 +206,11 @@
 def test_a_change_of_ours_that_came_through_after_all_is_known_again(tmp_path: Path) -> None:
     """Its first accept round is answered by nobody, yet one voter took it: the next try finds it as ours."""
     register = Quorum(tmp_path, "one")
-    call = register.proposer.change("k", NOTHING, b"x")
+    call = register.proposer.change("k", EMPTY_RECORD, b"x")
     step: Any = next(call)
-    step = call.send([one(v, step.ask) for v in register.voters.values()])
+    step = call.send([one(v, step.request) for v in register.voters.values()])
     for v in register.voters.values():
-        one(v, step.ask)
+        one(v, step.request)
     assert isinstance(call.send([]), Pause)
     outcome = register._run(_rest(call))
     assert outcome.result is Result.DONE and outcome.record.version == 1
@@ -232,7 +234,7 @@
 def test_a_voter_keeps_its_promise() -> None:
     v = voter()
     assert one(v, Prepare("k", Ballot(2, "p"))) is not None
-    for late in (Prepare("k", Ballot(1, "q")), Accept("k", Ballot(2, "o"), NOTHING)):
+    for late in (Prepare("k", Ballot(1, "q")), Accept("k", Ballot(2, "o"), EMPTY_RECORD)):
         vote = one(v, late)
         assert vote is not None and not vote.granted and vote.ballot == Ballot(2, "p")
 
@@ -245,13 +247,13 @@
 def test_several_questions_go_under_one_flush() -> None:
     kept: list[Memory] = []
     v = Voter("a", NAMES, Memory("f", "a", 0, {}, {}, ROSTER), lambda m: kept.append(m) is None)
-    votes = v.answers([(ROSTER.mark(), Prepare(f"k{i}", Ballot(1, "p"))) for i in range(20)])
+    votes = v.answer_batch([(ROSTER.fingerprint(), Prepare(f"k{i}", Ballot(1, "p"))) for i in range(20)])
     assert len(kept) == 1 and all(vote is not None and vote.granted for vote in votes)
 
 
 def test_keys_are_bounded() -> None:
     v = voter()
-    v.memory.slots = {f"k{i}": Slot() for i in range(MOST_KEYS)}
+    v.memory.slots = {f"k{i}": Slot() for i in range(MAX_KEYS)}
     assert one(v, Prepare("one more", Ballot(1, "p"))) is None and one(v, Prepare("k1", Ballot(1, "p")))
 
 
@@ -262,28 +264,28 @@
     a = lost("a")
     unknowing = one(a, Prepare("k", Ballot(9, "p")))
     assert unknowing is not None and not unknowing.granted and unknowing.roster is not None
-    assert a.adopt(ROSTER) and one(a, Prepare("k", Ballot(9, "p"))) is None
+    assert a.adopt_voter_set(ROSTER) and one(a, Prepare("k", Ballot(9, "p"))) is None
     asked = a.rejoin()
     assert asked == Rejoin("a", 1)
-    known = b.asked(asked)
-    assert known is not None and not a.told(known), "one of the two is not enough"
-    other = c.asked(asked)
-    assert other is not None and a.told(other) and a.rejoin() is None
+    known = b.answer_rejoin(asked)
+    assert known is not None and not a.accept_rejoin_answer(known), "one of the two is not enough"
+    other = c.answer_rejoin(asked)
+    assert other is not None and a.accept_rejoin_answer(other) and a.rejoin() is None
     assert a.memory.slots["k"] == Slot(Ballot(7, "p"), Ballot(3, "q"), Record(1, b"x", "q:1"))
 
 
 def test_one_that_has_lost_its_own_memory_tells_another_nothing() -> None:
-    assert lost("a").asked(Rejoin("b", 1)) is None
+    assert lost("a").answer_rejoin(Rejoin("b", 1)) is None
 
 
 def test_a_boot_number_that_an_older_start_used_is_not_used_again() -> None:
     b = voter("b")
-    b.memory.boots["a"] = 4
+    b.memory.known_boots["a"] = 4
     a = lost("a")
     asked = a.rejoin()
     assert asked is not None
-    known = b.asked(asked)
-    assert known is not None and not a.told(known)
+    known = b.answer_rejoin(asked)
+    assert known is not None and not a.accept_rejoin_answer(known)
     assert a.rejoin() == Rejoin("a", 5)
 
 
@@ -297,20 +299,20 @@
     asked = a.rejoin()
     assert asked is not None
     for other in (b, c):
-        known = other.asked(asked)
+        known = other.answer_rejoin(asked)
         assert known is not None
-        a.told(known)
+        a.accept_rejoin_answer(known)
     assert a.voting
     for v in (a, c):
         assert one(v, Accept("k", Ballot(1, "quick"), Record(1, b"x", "quick:1")))
     late = one(b, high)
     assert early is not None and late is not None and early.granted and late.granted
-    assert counted([early, late]) == [late]
+    assert valid_grants([early, late]) == [late]
 
 
 def test_a_roster_of_an_even_number_is_none() -> None:
     with pytest.raises(ValueError, match="odd"):
-        founding("abcd")
+        founding_voter_set("abcd")
 
 
 # -- disk
@@ -322,7 +324,7 @@
     disk.found(NAMES)
     slot = Slot(Ballot(2, "p"), Ballot(1, "q"), Record(1, b"x", "q:1"))
     memory = Memory("f", "a", 3, {"k": slot}, {"b": 2})
-    assert disk.keep(memory) and disk.load() == memory
+    assert disk.save(memory) and disk.load() == memory
     with pytest.raises(FileExistsError):
         disk.found(NAMES)
 
@@ -359,7 +361,7 @@
     disk = disks.Disk(str(tmp_path), "f", "a")
     disk.found(NAMES)
     (tmp_path / "voter-a.state.new").mkdir()  # stands in the way of the write
-    assert not disk.keep(Memory("f", "a", 9, {}, {}))
+    assert not disk.save(Memory("f", "a", 9, {}, {}))
     memory = disk.load()
     assert memory is not None and memory.boot == 0
 
@@ -382,16 +384,16 @@
     known_out = {"type": "Known", "voter": "a", "boot": 1, "asked": 2, "before": 3, "slots": {"k": slot_out}}
     known_out |= {"boots": {"b": 2}, "roster": roster_out}
     memory_out = {"fleet": "f", "voter": "a", "boot": 1, "slots": {"k": slot_out}, "boots": {"b": 2}}
-    version_1 = disks.MemoryBefore("f", "a", 1, {"k": slot}, {"b": 2}, ["a"])
+    version_1 = disks.MemoryVersion1("f", "a", 1, {"k": slot}, {"b": 2}, ["a"])
     written: list[tuple[Any, dict[str, Any]]] = [
         (Prepare("k", ballot), {"type": "Prepare", "key": "k", "ballot": ballot_out}),
         (
             Accept("k", ballot, record),
             {"type": "Accept", "key": "k", "ballot": ballot_out, "record": record_out},
         ),
-        (Glance("k"), {"type": "Glance", "key": "k"}),
-        (Keys(), {"type": "Keys"}),
-        (Enlist("t"), {"type": "Enlist", "token": "t"}),
+        (UnverifiedRead("k"), {"type": "Glance", "key": "k"}),
+        (ListKeys(), {"type": "Keys"}),
+        (AddVoter("t"), {"type": "Enlist", "token": "t"}),
         (Rejoin("a", 1), {"type": "Rejoin", "voter": "a", "boot": 1}),
         (Seated(ROSTER), {"type": "Seated", "roster": roster_out}),
         (vote, vote_out),
@@ -446,8 +448,8 @@
 
 
 def test_a_first_question_tells_that_no_boot_was_known() -> None:
-    known = voter("b").asked(Rejoin("a", 1))
-    assert isinstance(known, Known) and known.asked == 1 and known.before == 0
+    known = voter("b").answer_rejoin(Rejoin("a", 1))
+    assert isinstance(known, Known) and known.requested_boot == 1 and known.previous_boot == 0
 
 
 def test_no_order_of_events_lets_two_change_one_record() -> None:
