--- a/myrtlecrank/fleet/register/voter_set.py
+++ b/myrtlecrank/fleet/register/voter_set.py
@@ -78,7 +78,7 @@
             raise ValueError(f"{present[0]!r} votes already")
         new = {name: identity for name, identity in current.items() if name not in drop} | add
         if len(new) % 2 == 0:
-            raise ValueError(f"there would be {len(new)} voters; expected an odd number")
+            raise ValueError(f"there would be {len(new)} voters; an odd number is wanted")
         return Roster(self.number + 1, (current, new))
 
     def complete_change(self) -> Roster:
