--- a/myrtlecrank/fleet/ownership/__init__.py
+++ b/myrtlecrank/fleet/ownership/__init__.py
@@ -1,1 +1,2 @@
-"""One owner at a time of each duty: leases on the local monotonic clock, epochs that only grow, fences."""
+"""At most one owner of each duty: leases on the local monotonic clock, fencing epochs that only grow, and
+fences."""
--- a/myrtlecrank/fleet/ownership/lease.py
+++ b/myrtlecrank/fleet/ownership/lease.py
@@ -1,10 +1,10 @@
-"""Who owns a duty: one process's view of it, and what it may do about it.
+"""Ownership of duties by leases: one process's knowledge of a duty, and what it may do about it.
 
 Leases as published by Gray and Cheriton (1989), with fencing epochs as lock services give them (Burrows,
-2006). Safety rests on two things alone: the register takes a record only over the one that was seen, and
-a duration measured on one clock is off by the drift bound at the most. No two clocks are compared and no time
-stands in a record. Free of I/O and clocks; times are ms of the process's own monotonic clock, which must run
-on while the process or the machine sleeps."""
+2006). Safety rests on two facts: the register changes a record only over the one that was read, and a
+duration measured on one clock is off by the drift bound at the most. Clocks are never compared and records
+hold no times. Free of I/O and clocks; times are ms of the process's own monotonic clock, which must go on
+while the process or the machine sleeps."""
 
 from __future__ import annotations
 
@@ -13,249 +13,328 @@
 from dataclasses import dataclass
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 
+MAX_DRIFT = 0.5  # as a share of the rate
+RENEWALS_PER_LEASE = 3.0
+STAGGERS_PER_POLL = 4.0
+SUCCESSOR_WAIT_POLLS = 3.0
+RETRIES_PER_POLL = 4.0  # reads after a request of unknown outcome
+MIN_IMBALANCE = 2  # duties
+
 
 class Lease(Struct, frozen=True):
-    """The value of a duty's record. `owner` is empty where it was given up on purpose, perhaps for an `heir`.
+    """The value of a duty's record.
 
-    `epoch` grows with each taking, never else; `turn` is new with each attempt to write it. `progress` is the
-    last step that is done, by which a new owner goes on: it stands in the same record as the lease, so an old
-    owner cannot move it."""
+    `owner` is empty if the last owner released the duty, perhaps in favour of `heir`. `epoch` grows by one
+    with each acquisition and never otherwise; `attempt` is new with each attempt to write the record.
+    `progress` is the last completed step, from which a new owner continues: it is in the same record as the
+    lease, so that a former owner cannot change it."""
 
     owner: str = ""
     epoch: int = 0
-    turn: int = 0
-    heir: str = ""
+    attempt: int = field(default=0, name="turn")
+    heir: str = field(default="", name="heir")
     progress: int = 0
 
 
-NONE = Lease()
+NO_LEASE = Lease()
 
 
 def member_of(owner: str) -> str:
-    """Owners are starts, as `name/start`; heirs and places are members, by name alone."""
+    """The member's name in an owner's name.
+
+    An owner is one start of a member, `name/start`; heirs and the holders of duties are members, by name
+    alone."""
     return owner.split("/", 1)[0]
 
 
 def opened(record: Record) -> Lease:
-    """Raises msgspec.MsgspecError where the record holds something else."""
-    return msgspec.msgpack.decode(record.value, type=Lease) if record.version else NONE
+    """The lease in a record. Raises msgspec.MsgspecError if the record holds something else."""
+    return msgspec.msgpack.decode(record.value, type=Lease) if record.version else NO_LEASE
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Derived once from the operators' figures, all in ms."""
+    """The durations of a lease, in ms, derived once from the operators' options.
+
+    `lease_ms`: from the sending of a successful write to the end of ownership. `wait`: for how long a
+    record must have stayed unchanged before another member acquires the duty. `renewal_interval_ms`:
+    between renewals by the owner. `look`: between reads by the members that do not own the duty.
+    `stagger_ms`: how much later a member acquires a duty for each duty that it owns already.
+    `successor_wait_ms`: for how long the others leave a released duty to its heir."""
 
-    lease: float  # from the sending of a write that came through to the end of ownership
-    wait: float  # how long a record must have stood unchanged before another takes the duty
-    renew: float  # between renewals
-    look: float  # between looks of those that own it not
-    stagger: float  # how much later one claims for each duty that it owns already
-    heir: float  # how long the others leave a given-up duty to its heir
+    lease_ms: float
+    wait: float
+    renewal_interval_ms: float
+    look: float
+    stagger_ms: float
+    successor_wait_ms: float
 
     @classmethod
-    def of(cls, lease: float, drift: float, look: float) -> Terms:
-        """`drift`: the most by which any member's clock is off in rate, as a share. The owner's may run slow
-        and the other's fast at once, so the wait is longer by both."""
-        if not 0.0 <= drift < 0.5:
-            raise ValueError(f"drift is a share from 0 to under 0.5, not {drift}")
-        return cls(lease, lease * (1.0 + drift) / (1.0 - drift), lease / 3.0, look, look / 4.0, 3.0 * look)
+    def of(cls, lease_ms: float, drift: float, poll_interval_ms: float) -> Terms:
+        """The terms for a lease, a drift and an interval between reads.
+
+        `drift` is the largest error of any member's clock rate, as a share. The owner's clock may run slow
+        while another's runs fast, so the wait is longer than the lease by both errors. Raises ValueError if
+        `drift` is out of range."""
+        if not 0.0 <= drift < MAX_DRIFT:
+            raise ValueError(f"drift is a share from 0 to under {MAX_DRIFT}, not {drift}")
+        return cls(
+            lease_ms,
+            lease_ms * (1.0 + drift) / (1.0 - drift),
+            lease_ms / RENEWALS_PER_LEASE,
+            poll_interval_ms,
+            poll_interval_ms / STAGGERS_PER_POLL,
+            SUCCESSOR_WAIT_POLLS * poll_interval_ms,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """Read the duty's record. `sure`: as one that owns it or may; the others only glance, since a change over
-    what they saw tells whether it stands."""
+    """A request to read the duty's record.
+
+    `sure`: by a linearizable read, as a member that owns the duty, or may own it, needs it. The other members
+    use an unverified read, since a change over the record that they saw tells whether it is current."""
 
     sure: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Set the duty's record over this one."""
+    """A request to write the lease to the duty's record if `over` is the current record."""
 
     over: Record
     lease: Lease
 
     def value(self) -> bytes:
+        """The value of the new record."""
         return msgspec.msgpack.encode(self.lease)
 
 
 class Duty:
-    """One duty as one process sees it. One call to the register is under way at a time: want() says which,
-    sent() and heard() bracket it. owns() is asked at each effect, right before it."""
-
-    def __init__(self, name: str, me: str, terms: Terms) -> None:
-        self.name, self.me, self.terms = name, me, terms
-        self.record, self.lease = EMPTY_RECORD, NONE
-        self.known = False  # the record has been read since the last doubt
-        self.since = 0.0  # when the record was first seen to stand as it does
-        self.epoch: int | None = None  # while owned, by our own last knowledge
+    """One duty as one process knows it.
+
+    One request to the register is under way at a time: want() returns the next one, sending() and heard() are
+    called before and after it. owns() is called right before each effect.
+
+    The attributes that the methods do not explain: `known`: the record was read after the last request of
+    unknown outcome. `since`: when the record was first seen in its present state. `epoch`: while this
+    process owns the duty by its own knowledge, else None; `until`: the end of that lease. `sent_attempt`,
+    `sent_at`: attempt number and time of the last write. An attempt number names one write: if two had the
+    same, an older one that was chosen late would be taken for the newer, and the lease would be counted
+    from too late. `due`: want() returns nothing before this time. `completed_step`: the last step that the
+    owner has completed, recorded or not. `heir`: while the owner releases the duty: the member that it is
+    meant for, empty for any member; else None. `changes`: lines for the log; the reader empties the
+    list."""
+
+    def __init__(self, name: str, owner_id: str, terms: Terms) -> None:
+        self.name = name
+        self.owner_id = owner_id
+        self.terms = terms
+        self.record = EMPTY_RECORD
+        self.lease = NO_LEASE
+        self.known = False
+        self.since = 0.0
+        self.epoch: int | None = None
         self.until = 0.0
         self.attempts = 0
-        # Turn and time of the last write of ours. A turn names one attempt: were it the same for two, an
-        # older one that stands at last would be taken for the newer, and the lease counted from too late.
-        self.sent = (0, 0.0)
+        self.sent_attempt = 0
+        self.sent_at = 0.0
         self.asked: Look | Put | None = None
-        self.due = 0.0  # nothing is wanted before
-        self.fit, self.owned = False, 0  # as last told
-        self.done = 0  # progress that the owner has reached, recorded or not
-        self.heir: str | None = None  # the owner gives it up: for this one, or for anybody
-        self.changes: list[str] = []  # what happened, for the log; whoever reads them empties it
+        self.due = 0.0
+        self.is_eligible = False  # as given to want() last
+        self.owned_count = 0  # as given to want() last
+        self.completed_step = 0
+        self.heir: str | None = None
+        self.changes: list[str] = []
 
-    # -- what may be done
+    # -- what the process may do
 
     def owns(self, now: float) -> int | None:
-        """The epoch to put on an effect that begins now, else None. After a pause of any length this looks at
-        the clock first, and so is None where the lease ran out meanwhile."""
+        """The epoch for an effect that begins now; None if this process does not own the duty or releases it.
+
+        The clock is read first, so a process that wakes from a pause of any length finds that its lease has
+        expired."""
         if self.epoch is not None and now >= self.until:
-            self._lost("its lease ran out")
+            self._lose("its lease ran out")
         return self.epoch if self.heir is None else None
 
     def advance(self, progress: int) -> None:
-        """The owner has done all steps up to this one; it is recorded with the next write, at once."""
-        self.done, self.due = max(progress, self.done), 0.0
+        """Notes that the owner has completed all steps up to this one; it is recorded by a write that is due
+        at once."""
+        self.completed_step = max(progress, self.completed_step)
+        self.due = 0.0
 
     def recorded(self) -> int:
-        """The last step that the register knows of."""
+        """The last step that the register has recorded."""
         return self.lease.progress
 
     def give_up(self, heir: str = "") -> None:
-        """On purpose: for a drain, or to spread the duties. Nothing is done under the lease from now on."""
+        """Releases the duty, for a drain or to balance the duties. Nothing is done under the lease from now
+        on."""
         if self.epoch is not None and self.heir is None:
-            self.heir, self.due = heir, 0.0
+            self.heir = heir
+            self.due = 0.0
 
-    # -- what is asked of the register
+    # -- requests to the register
 
-    def want(self, now: float, fit: bool, owned: int) -> Look | Put | None:
-        """The call to make now, if any. `fit`: this process may take a duty (not leaving, cold or under
-        duress); `owned`: how many duties it has."""
+    def want(self, now: float, is_eligible: bool, owned_count: int) -> Look | Put | None:
+        """The request to make now, if any.
+
+        `is_eligible`: this process may acquire a duty (it is not draining, cold or under duress).
+        `owned_count`: how many duties it owns."""
         if self.asked is not None or now < self.due:
             return None
-        self.fit, self.owned = fit, owned
+        self.is_eligible = is_eligible
+        self.owned_count = owned_count
         self.owns(now)
         if not self.known:
             return Look(self.epoch is not None)
         old = self.lease
         if self.epoch is not None:
             if self.heir is not None:
-                return Put(self.record, self._lease("", old.epoch, self.heir, self.done))
-            if now >= self.sent[1] + self.terms.renew or self.done > old.progress:
-                return Put(self.record, self._lease(self.me, old.epoch, "", self.done))
+                return Put(self.record, self._new_lease("", old.epoch, self.heir, self.completed_step))
+            is_renewal_due = now >= self.sent_at + self.terms.renewal_interval_ms
+            if is_renewal_due or self.completed_step > old.progress:
+                return Put(self.record, self._new_lease(self.owner_id, old.epoch, "", self.completed_step))
             return None
-        if fit and now >= self.free_at(owned):
-            return Put(self.record, self._lease(self.me, old.epoch + 1, "", old.progress))
+        if is_eligible and now >= self.available_at(owned_count):
+            return Put(self.record, self._new_lease(self.owner_id, old.epoch + 1, "", old.progress))
         return Look(self.epoch is not None)
 
-    def _lease(self, owner: str, epoch: int, heir: str, progress: int) -> Lease:
+    def _new_lease(self, owner: str, epoch: int, heir: str, progress: int) -> Lease:
         self.attempts += 1
         return Lease(owner, epoch, self.attempts, heir, progress)
 
-    def free_at(self, owned: int) -> float:
-        """From when on this process may take the duty, if nothing changes until then."""
-        delay = self.terms.stagger * owned
-        if self.lease.owner == self.me:
-            return self.since  # only this very start could hold it, and it does not
+    def available_at(self, owned_count: int) -> float:
+        """From when on this process may acquire the duty if its record stays unchanged."""
+        delay = self.terms.stagger_ms * owned_count
+        if self.lease.owner == self.owner_id:
+            return self.since  # only this very start could own it, and it does not
         if self.lease.owner:
             return self.since + self.terms.wait + delay
-        if self.lease.heir not in ("", member_of(self.me)):
-            return self.since + self.terms.heir + delay
+        if self.lease.heir not in ("", member_of(self.owner_id)):
+            return self.since + self.terms.successor_wait_ms + delay
         return self.since + (0.0 if self.lease.heir else delay)
 
-    def sending(self, asked: Look | Put, now: float) -> None:
-        """`now` is read before the first byte leaves: the lease counts from here."""
-        self.asked = asked
-        if isinstance(asked, Put):
-            self.sent = (asked.lease.turn, now)
+    def sending(self, request: Look | Put, now: float) -> None:
+        """Notes that the request is sent. `now` is read before its first byte leaves: the lease counts from
+        then."""
+        self.asked = request
+        if isinstance(request, Put):
+            self.sent_attempt = request.lease.attempt
+            self.sent_at = now
 
     def heard(self, outcome: Outcome, now: float) -> None:
-        """The call is over; `now` is read after its last byte came."""
-        asked, self.asked = self.asked, None
-        if asked is None:
+        """Takes in the outcome of the request. `now` is read after its last byte arrived."""
+        request = self.asked
+        self.asked = None
+        if request is None:
             return
         if outcome.result in (Result.UNKNOWN, Result.AWAY):
-            # It may stand or not. What is owned stays so until its time; the record is read again before
-            # anything.
-            self.known, self.due = False, now + self.terms.look / 4.0
+            # The write may be chosen or not. A duty that is owned stays so until the end of its lease; the
+            # record is read again before anything else.
+            self.known = False
+            self.due = now + self.terms.look / RETRIES_PER_POLL
             return
-        if isinstance(asked, Put) and outcome.result is Result.DONE:
-            self._seen(outcome.record, asked.lease, True, now)
+        if isinstance(request, Put) and outcome.result is Result.DONE:
+            self._take_in(outcome.record, request.lease, True, now)
         else:
             try:
-                sure = isinstance(asked, Put) or asked.sure
-                self._seen(outcome.record, opened(outcome.record), sure, now)
+                is_verified = isinstance(request, Put) or request.sure
+                self._take_in(outcome.record, opened(outcome.record), is_verified, now)
             except msgspec.MsgspecError:
-                # Not ours to write over: something else stands under this name.
+                # Something else is stored under this name: it must not be overwritten.
                 self.changes.append("its record cannot be read")
-                self.known, self.due = False, now + self.terms.wait
+                self.known = False
+                self.due = now + self.terms.wait
                 return
-        if self.epoch is not None and self.lease.turn != self.sent[0]:
-            # A write of ours did not come through, and never will behind this answer: once more.
-            self.sent = (0, -math.inf)
-        self.due = self._next(now)
+        if self.epoch is not None and self.lease.attempt != self.sent_attempt:
+            # Our last write was not chosen, and cannot be after this answer: it is repeated at once.
+            self.sent_attempt = 0
+            self.sent_at = -math.inf
+        self.due = self._next_due(now)
 
-    def _next(self, now: float) -> float:
+    def _next_due(self, now: float) -> float:
         if self.epoch is not None:
-            return min(self.sent[1] + self.terms.renew, self.until)
-        # No later than it may be taken: a duty handed over waits for a round trip, not for the next look.
-        free = self.free_at(self.owned) if self.fit else math.inf
-        return min(now + self.terms.look, max(now, free))
-
-    def _seen(self, record: Record, lease: Lease, sure: bool, now: float) -> None:
+            return min(self.sent_at + self.terms.renewal_interval_ms, self.until)
+        # No later than the duty is available: a duty that is handed over waits for a round trip, not for the
+        # next poll.
+        available_at = self.available_at(self.owned_count) if self.is_eligible else math.inf
+        return min(now + self.terms.look, max(now, available_at))
+
+    def _take_in(self, record: Record, lease: Lease, is_verified: bool, now: float) -> None:
+        """Takes in a record that was read or written."""
         if not self.known or record.writer != self.record.writer:
             if record.writer != self.record.writer:
                 self.since = now
-            self.record, self.lease, self.known = record, lease, True
-        if lease.owner == self.me and self.sent[0] == lease.turn:
-            # It came through: the lease counts from when it was sent, not from when that was known. A glance
-            # would not do, as what it saw need not stand.
-            if sure and self.epoch is None and now < self.sent[1] + self.terms.lease:
-                # What was done and not recorded stays done: the record of it may have failed a moment before.
-                self.epoch, self.done, self.heir = lease.epoch, max(self.done, lease.progress), None
+            self.record = record
+            self.lease = lease
+            self.known = True
+        if lease.owner == self.owner_id and self.sent_attempt == lease.attempt:
+            # Our last write was chosen: the lease counts from its sending, not from this answer. An
+            # unverified read is not enough, as the record that it returns need not be chosen.
+            lease_end = self.sent_at + self.terms.lease_ms
+            if is_verified and self.epoch is None and now < lease_end:
+                # Completed steps stay completed: the write that records them may have failed just before.
+                self.epoch = lease.epoch
+                self.completed_step = max(self.completed_step, lease.progress)
+                self.heir = None
                 self.changes.append(f"owned from now on, epoch {lease.epoch}")
-            if sure and self.epoch == lease.epoch:
-                self.until = self.sent[1] + self.terms.lease
-        elif sure and self.epoch is not None and (lease.owner != self.me or lease.epoch != self.epoch):
-            self._lost("given up" if self.heir is not None else f"taken by {lease.owner or 'nobody'}")
+            if is_verified and self.epoch == lease.epoch:
+                self.until = lease_end
+        elif (
+            is_verified
+            and self.epoch is not None
+            and (lease.owner != self.owner_id or lease.epoch != self.epoch)
+        ):
+            self._lose("given up" if self.heir is not None else f"taken by {lease.owner or 'nobody'}")
 
-    def _lost(self, why: str) -> None:
-        self.changes.append(f"no longer owned, epoch {self.epoch}: {why}")
-        self.epoch, self.heir = None, None
+    def _lose(self, reason: str) -> None:
+        self.changes.append(f"no longer owned, epoch {self.epoch}: {reason}")
+        self.epoch = None
+        self.heir = None
 
 
 def rebalance(
-    owners: Mapping[str, str], me: str, fit: Iterable[str], zones: Mapping[str, str]
+    owners: Mapping[str, str], own_name: str, eligible: Iterable[str], zones: Mapping[str, str]
 ) -> tuple[str, str] | None:
-    """A duty of mine to hand over and to whom, where that evens the duties out; None where nothing does.
-    `owners`: duty to owner; `fit`: members that may take one. Two apart is even enough: moving for less would
-    move for ever. Among equals the zone with the fewest duties goes first, then the name."""
-    count = dict.fromkeys(sorted(fit), 0)
-    by_zone: dict[str, int] = {}
+    """A duty of this member to hand over and its new owner, if that balances the duties; else None.
+
+    `owners` maps duties to owners; `eligible` are the members that may acquire one. A difference of less
+    than two is balanced enough: handing over for less would never end. Among equal members, the one in the
+    zone with the fewest duties is first, then the one whose name is first."""
+    count = dict.fromkeys(sorted(eligible), 0)
+    count_by_zone: dict[str, int] = {}
     for owner in owners.values():
         if owner:
-            by_zone[zones.get(owner, "")] = by_zone.get(zones.get(owner, ""), 0) + 1
+            zone = zones.get(owner, "")
+            count_by_zone[zone] = count_by_zone.get(zone, 0) + 1
         if owner in count:
             count[owner] += 1
-    mine = sorted(duty for duty, owner in owners.items() if owner == me)
-    others = [name for name in count if name != me]
-    if not mine or not others:
+    own_duties = sorted(duty for duty, owner in owners.items() if owner == own_name)
+    others = [name for name in count if name != own_name]
+    if not own_duties or not others:
         return None
-    heir = min(others, key=lambda name: (count[name], by_zone.get(zones.get(name, ""), 0), name))
-    return (mine[-1], heir) if len(mine) >= count[heir] + 2 else None
+    heir = min(others, key=lambda name: (count[name], count_by_zone.get(zones.get(name, ""), 0), name))
+    return (own_duties[-1], heir) if len(own_duties) >= count[heir] + MIN_IMBALANCE else None
 
 
 class Fence:
-    """What stands before anything that takes effects on behalf of the fleet: refuses an epoch older than the
-    newest it has met. A receiver that may restart keeps `newest` with its own state."""
+    """Refuses effects under an epoch older than the newest that it has met.
+
+    It guards each receiver of effects of the fleet. A receiver that may restart stores `newest_epochs` with
+    its own state."""
 
-    def __init__(self, newest: Mapping[str, int] | None = None) -> None:
-        self.newest = dict(newest or {})
+    def __init__(self, newest_epochs: Mapping[str, int] | None = None) -> None:
+        self.newest_epochs = dict(newest_epochs or {})
 
     def admits(self, duty: str, epoch: int) -> bool:
-        if epoch < self.newest.get(duty, 0):
+        """Whether an effect of the duty under this epoch may be carried out."""
+        if epoch < self.newest_epochs.get(duty, 0):
             return False
-        self.newest[duty] = epoch
+        self.newest_epochs[duty] = epoch
         return True
--- a/rig/multi_node/ownership_model_check.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -17,7 +17,9 @@
 from myrtlecrank.fleet.ownership.lease import Duty, Lease, Look, Put, Terms
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 
-TERMS = Terms(lease=3.0, wait=4.0, renew=1.0, look=1.0, stagger=0.0, heir=2.0)
+TERMS = Terms(
+    lease_ms=3.0, wait=4.0, renewal_interval_ms=1.0, look=1.0, stagger_ms=0.0, successor_wait_ms=2.0
+)
 NAMES = ("a/1", "b/1")
 
 
@@ -55,12 +57,12 @@
             duty.epoch,
             ago(duty.until),
             duty.attempts,
-            duty.sent[0],
-            ago(duty.sent[1]),
+            duty.sent_attempt,
+            ago(duty.sent_at),
             duty.asked,
             ago(duty.due),
             duty.heir,
-            duty.done,
+            duty.completed_step,
         )
 
 
@@ -89,7 +91,7 @@
                 assert asked is not None
                 first.sending(asked, 0.0)
                 if isinstance(asked, Put):
-                    record = Record(1, asked.value(), f"{first.me}:{asked.lease.turn}")
+                    record = Record(1, asked.value(), f"{first.owner_id}:{asked.lease.attempt}")
                 first.heard(Outcome(Result.DONE, record), 0.0)
             duties[1].sending(Look(False), 0.0)
             duties[1].heard(Outcome(Result.DONE, record), 0.0)
@@ -102,7 +104,7 @@
             return
         self.seen[key] = left
         owners = [
-            (duty.me, epoch)
+            (duty.owner_id, epoch)
             for duty in map(copied, state.duties)
             if (epoch := duty.owns(float(state.now))) is not None
         ]
@@ -122,10 +124,13 @@
             asked = mine.want(now, True, 0)
             if asked is not None:
                 mine.sending(asked, now)
-                yield f"{duty.me} asks", self._with(state, i, mine, calls=(*state.calls, Sent(i, asked)))
+                yield (
+                    f"{duty.owner_id} asks",
+                    self._with(state, i, mine, calls=(*state.calls, Sent(i, asked))),
+                )
         for sent in state.calls:
             rest = tuple(one for one in state.calls if one is not sent)
-            name = state.duties[sent.member].me
+            name = state.duties[sent.member].owner_id
             if sent.outcome is None:
                 for outcome, record in self._taken(state, sent):
                     took = (*rest, replace(sent, outcome=outcome)) if sent.waited else rest
@@ -168,7 +173,7 @@
     """The record that a change makes, known by its writer as in the register."""
     assert isinstance(sent.asked, Put)
     lease: Lease = sent.asked.lease
-    writer = f"{state.duties[sent.member].me}:{lease.turn}"
+    writer = f"{state.duties[sent.member].owner_id}:{lease.attempt}"
     return Record(sent.asked.over.version + 1, sent.asked.value(), writer)
 
 
@@ -190,7 +195,7 @@
 class CountsFromAnswer(Duty):
     def heard(self, outcome: Outcome, now: float) -> None:
         if isinstance(self.asked, Put):
-            self.sent = (self.sent[0], now)
+            self.sent_at = now
         super().heard(outcome, now)
 
 
@@ -200,8 +205,8 @@
 
 
 class BelievesGlance(Duty):
-    def _seen(self, record: Record, lease: Lease, sure: bool, now: float) -> None:
-        super()._seen(record, lease, True, now)
+    def _take_in(self, record: Record, lease: Lease, sure: bool, now: float) -> None:
+        super()._take_in(record, lease, True, now)
 
 
 def one_turn(duty: Duty) -> None:
@@ -210,5 +215,5 @@
 
 
 class OneTurn(Duty):
-    def _lease(self, owner: str, epoch: int, heir: str, progress: int) -> Lease:
+    def _new_lease(self, owner: str, epoch: int, heir: str, progress: int) -> Lease:
         return Lease(owner, epoch, 1, heir, progress)
--- a/rig/multi_node/planted_faults.py
+++ b/rig/multi_node/planted_faults.py
@@ -66,7 +66,7 @@
             asked = want(now, fit, owned)
             if isinstance(asked, Put) and duty.epoch is None and asked.lease.owner:
                 lease = asked.lease
-                return Put(asked.over, Lease(lease.owner, 1, lease.turn, lease.heir, lease.progress))
+                return Put(asked.over, Lease(lease.owner, 1, lease.attempt, lease.heir, lease.progress))
             return asked
 
         return wanted
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -21,7 +21,7 @@
 
 
 def record(lease: Lease, version: int = 1, writer: str = "") -> Record:
-    return Record(version, Put(EMPTY_RECORD, lease).value(), writer or f"{lease.owner}:{lease.turn}")
+    return Record(version, Put(EMPTY_RECORD, lease).value(), writer or f"{lease.owner}:{lease.attempt}")
 
 
 def stands(rec: Record) -> Outcome:
@@ -71,7 +71,7 @@
     duty = Duty("d", "b/1", TERMS)
     looked(duty, record(Lease("a/1", 4, 7), 3, "first"), 0.0)
     looked(duty, record(Lease("a/1", 4, 8), 3, "second"), 900.0)
-    assert duty.free_at(0) == 900.0 + TERMS.wait
+    assert duty.available_at(0) == 900.0 + TERMS.wait
 
 
 def test_a_drift_that_makes_no_sense_is_refused() -> None:
@@ -90,7 +90,7 @@
 def test_those_with_duties_claim_later() -> None:
     duty = Duty("d", "b/1", TERMS)
     looked(duty, EMPTY_RECORD, 0.0)
-    assert duty.free_at(0) == 0.0 and duty.free_at(3) == 3.0 * TERMS.stagger
+    assert duty.available_at(0) == 0.0 and duty.available_at(3) == 3.0 * TERMS.stagger_ms
 
 
 def test_a_renewal_in_doubt_neither_extends_nor_ends_and_is_read_for_sure() -> None:
@@ -130,7 +130,7 @@
         duty.known = True
         asked = duty.want(now + 400.0, True, 1)
         assert isinstance(asked, Put)
-        turns.append(asked.lease.turn)
+        turns.append(asked.lease.attempt)
         duty.sending(asked, now)
         duty.heard(Outcome(Result.UNKNOWN), now + 50.0)
     assert turns[0] != turns[1]
@@ -149,7 +149,7 @@
 def test_an_earlier_start_of_ours_is_another_owner() -> None:
     duty = Duty("d", "a/2", TERMS)
     looked(duty, record(Lease("a/1", 4, 7)), 0.0)
-    assert duty.free_at(0) == TERMS.wait
+    assert duty.available_at(0) == TERMS.wait
 
 
 def test_what_it_gave_up_it_does_no_more_and_the_heir_goes_first() -> None:
@@ -164,7 +164,7 @@
     heir, other = Duty("d", "b/1", TERMS), Duty("d", "c/1", TERMS)
     for one in (heir, other):
         looked(one, given, 120.0)
-    assert heir.free_at(0) == 120.0 and other.free_at(0) == 120.0 + TERMS.heir
+    assert heir.available_at(0) == 120.0 and other.available_at(0) == 120.0 + TERMS.successor_wait_ms
 
 
 def test_a_record_that_is_something_else_is_left_alone() -> None:
@@ -185,7 +185,7 @@
     duty.advance(1)
     duty.owns(1200.0)
     duty.heard(stands(record(asked.lease, 2)), 1210.0)
-    assert duty.owns(1211.0) == 1 and duty.done == 1 and duty.recorded() == 0
+    assert duty.owns(1211.0) == 1 and duty.completed_step == 1 and duty.recorded() == 0
     duty.due = 0.0
     again = duty.want(1212.0, True, 1)
     assert isinstance(again, Put) and again.lease.progress == 1
