--- a/myrtlecrank/fleet/ownership/lease.py
+++ b/myrtlecrank/fleet/ownership/lease.py
@@ -118,17 +118,7 @@
     """One duty as one process knows it.
 
     One request to the register is under way at a time: want() returns the next one, sending() and heard() are
-    called before and after it. owns() is called right before each effect.
-
-    The attributes that the methods do not explain: `known`: the record was read after the last request of
-    unknown outcome. `since`: when the record was first seen in its present state. `epoch`: while this
-    process owns the duty by its own knowledge, else None; `until`: the end of that lease. `sent_attempt`,
-    `sent_at`: attempt number and time of the last write. An attempt number names one write: if two had the
-    same, an older one that was chosen late would be taken for the newer, and the lease would be counted
-    from too late. `due`: want() returns nothing before this time. `completed_step`: the last step that the
-    owner has completed, recorded or not. `heir`: while the owner releases the duty: the member that it is
-    meant for, empty for any member; else None. `changes`: lines for the log; the reader empties the
-    list."""
+    called before and after it. owns() is called right before each effect."""
 
     def __init__(self, name: str, owner_id: str, terms: Terms) -> None:
         self.name = name
@@ -136,20 +126,24 @@
         self.terms = terms
         self.record = EMPTY_RECORD
         self.lease = NO_LEASE
-        self.known = False
-        self.since = 0.0
-        self.epoch: int | None = None
-        self.until = 0.0
+        self.record_is_known = False  # the record was read after the last request of unknown outcome
+        self.since = 0.0  # when the record was first seen in its present state
+        self.epoch: int | None = None  # while this process owns the duty by its own knowledge
+        self.until = 0.0  # the end of that ownership
         self.attempts = 0
+        # Attempt number and time of the last write. An attempt number names one write: if two had the same,
+        # an older one that was chosen late would be taken for the newer, and the lease counted from too
+        # late.
         self.sent_attempt = 0
         self.sent_at = 0.0
-        self.asked: Look | Put | None = None
-        self.due = 0.0
+        self.asked: Look | Put | None = None  # the request under way
+        self.due = 0.0  # want() returns nothing before
         self.is_eligible = False  # as given to want() last
         self.owned_count = 0  # as given to want() last
-        self.completed_step = 0
+        self.completed_step = 0  # by the owner, recorded or not
+        # While the owner releases the duty: the member that it is meant for, empty for any member.
         self.heir: str | None = None
-        self.changes: list[str] = []
+        self.changes: list[str] = []  # lines for the log; the reader empties the list
 
     # -- what the process may do
 
@@ -191,7 +185,7 @@
         self.is_eligible = is_eligible
         self.owned_count = owned_count
         self.owns(now)
-        if not self.known:
+        if not self.record_is_known:
             return Look(self.epoch is not None)
         old = self.lease
         if self.epoch is not None:
@@ -237,7 +231,7 @@
         if outcome.result in (Result.UNKNOWN, Result.AWAY):
             # The write may be chosen or not. A duty that is owned stays so until the end of its lease; the
             # record is read again before anything else.
-            self.known = False
+            self.record_is_known = False
             self.due = now + self.terms.look / RETRIES_PER_POLL
             return
         if isinstance(request, Put) and outcome.result is Result.DONE:
@@ -249,7 +243,7 @@
             except msgspec.MsgspecError:
                 # Something else is stored under this name: it must not be overwritten.
                 self.changes.append("its record cannot be read")
-                self.known = False
+                self.record_is_known = False
                 self.due = now + self.terms.wait
                 return
         if self.epoch is not None and self.lease.attempt != self.sent_attempt:
@@ -268,12 +262,12 @@
 
     def _take_in(self, record: Record, lease: Lease, is_verified: bool, now: float) -> None:
         """Takes in a record that was read or written."""
-        if not self.known or record.writer != self.record.writer:
+        if not self.record_is_known or record.writer != self.record.writer:
             if record.writer != self.record.writer:
                 self.since = now
             self.record = record
             self.lease = lease
-            self.known = True
+            self.record_is_known = True
         if lease.owner == self.owner_id and self.sent_attempt == lease.attempt:
             # Our last write was chosen: the lease counts from its sending, not from this answer. An
             # unverified read is not enough, as the record that it returns need not be chosen.
--- a/rig/multi_node/ownership_model_check.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -52,7 +52,7 @@
 
         return (
             duty.record,
-            duty.known,
+            duty.record_is_known,
             ago(duty.since),
             duty.epoch,
             ago(duty.until),
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -127,7 +127,7 @@
     turns = []
     for now in (400.0, 500.0):
         duty.due = 0.0
-        duty.known = True
+        duty.record_is_known = True
         asked = duty.want(now + 400.0, True, 1)
         assert isinstance(asked, Put)
         turns.append(asked.lease.attempt)
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -1,5 +1,5 @@
-"""The register: decisions of voters and proposers, memory on disk, both backings by one set of tests, and
-histories under faults on the virtual clock."""
+"""Tests of the register: voters and proposers, the file of a voter, both implementations by the same tests,
+names on the wire and on disk, and histories under faults on the virtual clock."""
 
 from __future__ import annotations
 
@@ -40,25 +40,26 @@
 from rig.multi_node.register_model_check import Walk
 
 NAMES = ("a", "b", "c")
-ROSTER = founding_voter_set(NAMES)
+VOTER_SET = founding_voter_set(NAMES)
 
 
-def voter(name: str = "a", memory: Memory | None = None, whole: bool = True, keeps: bool = True) -> Voter:
-    memory = memory or Memory("f", name, 0, {}, {}, ROSTER)
-    return Voter(name, NAMES, memory, lambda _: keeps, "f", whole)
+def voter(
+    name: str = "a", memory: Memory | None = None, is_trusted: bool = True, write_succeeds: bool = True
+) -> Voter:
+    memory = memory or Memory("f", name, 0, {}, {}, VOTER_SET)
+    return Voter(name, NAMES, memory, lambda _: write_succeeds, "f", is_trusted)
 
 
-def lost(name: str) -> Voter:
+def voter_without_memory(name: str) -> Voter:
     return Voter(name, NAMES, None, lambda _: True, "f", instance_id=f"{name}/2")
 
 
-def one(vote: Voter, asked: Any) -> Vote | None:
-    return vote.answer_batch([(ROSTER.fingerprint(), asked)])[0]
+def answer(voter: Voter, request: Any) -> Vote | None:
+    return voter.answer_batch([(VOTER_SET.fingerprint(), request)])[0]
 
 
-class Quorum:
-    """The proposer's calls against three voters in this process, some of them away. Backs the tests that both
-    backings pass."""
+class LocalRegister:
+    """A register of three voters in this process, some of them unreachable (`away`)."""
 
     def __init__(self, folder: Path, ident: str, voters: dict[str, Voter] | None = None) -> None:
         self.disks = {name: disks.Disk(str(folder), "f", name) for name in NAMES}
@@ -67,7 +68,7 @@
                 disk.found(NAMES)
             voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].save, "f") for n in NAMES}
         self.voters, self.away = voters, set[str]()
-        self.proposer = Proposer(ident, ROSTER, lambda: 0.5, max_attempts=3)
+        self.proposer = Proposer(ident, VOTER_SET, lambda: 0.5, max_attempts=3)
 
     def _run(self, call: Any) -> Outcome:
         votes = None
@@ -78,7 +79,7 @@
                 return end.value  # type: ignore[no-any-return]
             votes = []
             if isinstance(step, Round):
-                answers = [one(v, step.request) for n, v in self.voters.items() if n not in self.away]
+                answers = [answer(v, step.request) for n, v in self.voters.items() if n not in self.away]
                 votes = [vote for vote in answers if vote is not None]
             else:
                 assert isinstance(step, Pause) and 0.0 < step.duration_ms < 1000.0
@@ -94,63 +95,66 @@
 
 
 @pytest.fixture(params=["voters", "sqlite"])
-def pair(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[tuple[Register, Register]]:
-    """Two processes' handles on one register."""
+def registers(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[tuple[Register, Register]]:
+    """The access of two processes to one register."""
     if request.param == "voters":
-        first = Quorum(tmp_path, "one")
-        yield first, Quorum(tmp_path, "two", first.voters)
+        first = LocalRegister(tmp_path, "one")
+        yield first, LocalRegister(tmp_path, "two", first.voters)
         return
     file = str(tmp_path / "register.db")
-    bases = SqliteRegister(file, "one"), SqliteRegister(file, "two")
-    yield bases
-    for base in bases:
-        base.close()
+    handles = SqliteRegister(file, "one"), SqliteRegister(file, "two")
+    yield handles
+    for handle in handles:
+        handle.close()
 
 
-def test_a_key_nobody_wrote_stands_at_version_0(pair: tuple[Register, Register]) -> None:
-    assert pair[0].read("k") == Outcome(Result.DONE, EMPTY_RECORD)
+def test_a_key_that_nobody_wrote_has_version_0(registers: tuple[Register, Register]) -> None:
+    assert registers[0].read("k") == Outcome(Result.DONE, EMPTY_RECORD)
 
 
-def test_a_change_is_seen_by_the_other_and_versions_rise_by_one(pair: tuple[Register, Register]) -> None:
-    first = pair[0].change("k", EMPTY_RECORD, b"x")
+def test_a_change_is_visible_to_the_other_process_and_versions_grow_by_one(
+    registers: tuple[Register, Register],
+) -> None:
+    first = registers[0].change("k", EMPTY_RECORD, b"x")
     assert first.result is Result.DONE and first.record.version == 1
-    assert pair[1].read("k").record == first.record == pair[1].glance("k").record
-    second = pair[1].change("k", first.record, b"y")
-    assert (second.record.version, pair[0].read("k").record.value) == (2, b"y")
+    assert registers[1].read("k").record == first.record == registers[1].glance("k").record
+    second = registers[1].change("k", first.record, b"y")
+    assert (second.record.version, registers[0].read("k").record.value) == (2, b"y")
 
 
-def test_a_change_over_what_no_longer_stands_changes_nothing_and_tells_what_does(
-    pair: tuple[Register, Register],
+def test_a_change_over_an_outdated_record_changes_nothing_and_returns_the_current_one(
+    registers: tuple[Register, Register],
 ) -> None:
-    first = pair[0].change("k", EMPTY_RECORD, b"x")
-    assert pair[1].change("k", EMPTY_RECORD, b"y") == Outcome(Result.CONFLICT, first.record)
-    assert pair[0].read("k").record.value == b"x"
+    first = registers[0].change("k", EMPTY_RECORD, b"x")
+    assert registers[1].change("k", EMPTY_RECORD, b"y") == Outcome(Result.CONFLICT, first.record)
+    assert registers[0].read("k").record.value == b"x"
 
 
-def test_a_record_is_known_by_its_writer_and_not_by_its_version_alone(
-    pair: tuple[Register, Register],
+def test_records_are_compared_by_writer_and_not_by_version_alone(
+    registers: tuple[Register, Register],
 ) -> None:
-    """Two calls may have tried for one version; a change over the one that lost must not pass for the
-    other."""
-    pair[0].change("k", EMPTY_RECORD, b"x")
-    assert pair[1].change("k", Record(1, b"x", "somebody else"), b"y").result is Result.CONFLICT
+    """Two calls may propose records of one version; a change over the one that was not chosen must fail."""
+    registers[0].change("k", EMPTY_RECORD, b"x")
+    assert registers[1].change("k", Record(1, b"x", "somebody else"), b"y").result is Result.CONFLICT
 
 
-def test_keys_are_apart(pair: tuple[Register, Register]) -> None:
-    pair[0].change("k", EMPTY_RECORD, b"x")
-    assert pair[0].read("other").record is EMPTY_RECORD or pair[0].read("other").record == EMPTY_RECORD
+def test_keys_are_independent(registers: tuple[Register, Register]) -> None:
+    registers[0].change("k", EMPTY_RECORD, b"x")
+    assert (
+        registers[0].read("other").record is EMPTY_RECORD or registers[0].read("other").record == EMPTY_RECORD
+    )
 
 
 @pytest.mark.parametrize(("key", "value"), [("", b""), ("k" * 201, b""), ("k", b"x" * (MAX_VALUE_BYTES + 1))])
-def test_what_is_too_long_is_an_error_and_leaves_nothing(
-    pair: tuple[Register, Register], key: str, value: bytes
+def test_a_key_or_value_of_wrong_length_is_an_error_and_changes_nothing(
+    registers: tuple[Register, Register], key: str, value: bytes
 ) -> None:
     with pytest.raises(ValueError, match="not"):
-        pair[0].change(key, EMPTY_RECORD, value)
-    assert pair[0].read("k").record == EMPTY_RECORD
+        registers[0].change(key, EMPTY_RECORD, value)
+    assert registers[0].read("k").record == EMPTY_RECORD
 
 
-def test_another_processs_lock_is_waited_for_no_longer_than_told(tmp_path: Path) -> None:
+def test_the_wait_for_the_lock_of_another_process_is_bounded(tmp_path: Path) -> None:
     holder, waiter = (
         SqliteRegister(str(tmp_path / "r.db"), who, lock_timeout_ms=30.0) for who in ("one", "two")
     )
@@ -162,11 +166,11 @@
     waiter.close()
 
 
-# -- with a majority away
+# -- without a majority
 
 
 def test_without_a_majority_nothing_is_read_and_nothing_changes(tmp_path: Path) -> None:
-    register = Quorum(tmp_path, "one")
+    register = LocalRegister(tmp_path, "one")
     register.away = {"a", "b"}
     assert register.read("k").result is register.glance("k").result is Result.AWAY
     assert register.change("k", EMPTY_RECORD, b"x").result is Result.AWAY
@@ -174,14 +178,14 @@
     assert register.read("k").record == EMPTY_RECORD
 
 
-def test_a_majority_that_goes_between_the_rounds_leaves_the_outcome_unknown(tmp_path: Path) -> None:
-    register = Quorum(tmp_path, "one")
+def test_a_majority_lost_between_the_rounds_leaves_the_outcome_unknown(tmp_path: Path) -> None:
+    register = LocalRegister(tmp_path, "one")
     call = register.proposer.change("k", EMPTY_RECORD, b"x")
     step = next(call)
-    votes = [one(v, step.request) for v in register.voters.values()]  # type: ignore[union-attr]
+    votes = [answer(v, step.request) for v in register.voters.values()]  # type: ignore[union-attr]
     step = call.send([vote for vote in votes if vote is not None])
     assert isinstance(step, Round) and isinstance(step.request, Accept)
-    only = one(register.voters["a"], step.request)
+    only = answer(register.voters["a"], step.request)
     assert only is not None
     votes_now: list[Vote] = [only]
     with pytest.raises(StopIteration) as end:
@@ -191,34 +195,35 @@
     assert end.value.value.result is Result.UNKNOWN
 
 
-def test_what_a_minority_accepted_stands_once_a_read_has_seen_it(tmp_path: Path) -> None:
-    register = Quorum(tmp_path, "one")
+def test_a_record_that_a_minority_accepted_is_chosen_once_a_read_returns_it(tmp_path: Path) -> None:
+    register = LocalRegister(tmp_path, "one")
     ballot, record = Ballot(5, "dead"), Record(1, b"x", "dead:1")
     for name in ("a", "b"):
-        one(register.voters[name], Prepare("k", ballot))
-    one(register.voters["a"], Accept("k", ballot, record))
+        answer(register.voters[name], Prepare("k", ballot))
+    answer(register.voters["a"], Accept("k", ballot, record))
     register.away = {"c"}
     assert register.read("k").record == record
     register.away = {"a"}
     assert register.read("k").record == record
 
 
-def test_a_change_of_ours_that_came_through_after_all_is_known_again(tmp_path: Path) -> None:
-    """Its first accept round is answered by nobody, yet one voter took it: the next try finds it as ours."""
-    register = Quorum(tmp_path, "one")
+def test_a_proposer_recognizes_its_own_change_after_lost_replies(tmp_path: Path) -> None:
+    """All votes of the first accept round are lost, though the voters accepted: the next attempt finds the
+    record and recognizes its writer."""
+    register = LocalRegister(tmp_path, "one")
     call = register.proposer.change("k", EMPTY_RECORD, b"x")
     step: Any = next(call)
-    step = call.send([one(v, step.request) for v in register.voters.values()])
+    step = call.send([answer(v, step.request) for v in register.voters.values()])
     for v in register.voters.values():
-        one(v, step.request)
+        answer(v, step.request)
     assert isinstance(call.send([]), Pause)
-    outcome = register._run(_rest(call))
+    outcome = register._run(_resumed(call))
     assert outcome.result is Result.DONE and outcome.record.version == 1
     assert register.read("k").record == outcome.record
 
 
-def _rest(call: Any) -> Any:
-    """A call that goes on where it waits."""
+def _resumed(call: Any) -> Any:
+    """Resumes a call that waits for votes, without any."""
     step = call.send([])
     while True:
         votes = yield step
@@ -233,38 +238,38 @@
 
 def test_a_voter_keeps_its_promise() -> None:
     v = voter()
-    assert one(v, Prepare("k", Ballot(2, "p"))) is not None
+    assert answer(v, Prepare("k", Ballot(2, "p"))) is not None
     for late in (Prepare("k", Ballot(1, "q")), Accept("k", Ballot(2, "o"), EMPTY_RECORD)):
-        vote = one(v, late)
+        vote = answer(v, late)
         assert vote is not None and not vote.granted and vote.ballot == Ballot(2, "p")
 
 
-def test_a_voter_whose_disk_fails_says_nothing() -> None:
-    v = voter(keeps=False)
-    assert one(v, Prepare("k", Ballot(1, "p"))) is None and v.failed
+def test_a_voter_whose_write_fails_does_not_answer() -> None:
+    v = voter(write_succeeds=False)
+    assert answer(v, Prepare("k", Ballot(1, "p"))) is None and v.failed
 
 
-def test_several_questions_go_under_one_flush() -> None:
+def test_several_requests_are_made_durable_by_one_write() -> None:
     kept: list[Memory] = []
-    v = Voter("a", NAMES, Memory("f", "a", 0, {}, {}, ROSTER), lambda m: kept.append(m) is None)
-    votes = v.answer_batch([(ROSTER.fingerprint(), Prepare(f"k{i}", Ballot(1, "p"))) for i in range(20)])
+    v = Voter("a", NAMES, Memory("f", "a", 0, {}, {}, VOTER_SET), lambda m: kept.append(m) is None)
+    votes = v.answer_batch([(VOTER_SET.fingerprint(), Prepare(f"k{i}", Ballot(1, "p"))) for i in range(20)])
     assert len(kept) == 1 and all(vote is not None and vote.granted for vote in votes)
 
 
-def test_keys_are_bounded() -> None:
+def test_the_number_of_keys_is_bounded() -> None:
     v = voter()
     v.memory.slots = {f"k{i}": Slot() for i in range(MAX_KEYS)}
-    assert one(v, Prepare("one more", Ballot(1, "p"))) is None and one(v, Prepare("k1", Ballot(1, "p")))
+    assert answer(v, Prepare("one more", Ballot(1, "p"))) is None and answer(v, Prepare("k1", Ballot(1, "p")))
 
 
-def test_a_voter_without_memory_abstains_until_all_others_have_told() -> None:
+def test_a_voter_without_memory_abstains_until_all_others_have_answered() -> None:
     b, c = voter("b"), voter("c")
-    one(b, Prepare("k", Ballot(7, "p")))
-    one(c, Accept("k", Ballot(3, "q"), Record(1, b"x", "q:1")))
-    a = lost("a")
-    unknowing = one(a, Prepare("k", Ballot(9, "p")))
+    answer(b, Prepare("k", Ballot(7, "p")))
+    answer(c, Accept("k", Ballot(3, "q"), Record(1, b"x", "q:1")))
+    a = voter_without_memory("a")
+    unknowing = answer(a, Prepare("k", Ballot(9, "p")))
     assert unknowing is not None and not unknowing.granted and unknowing.roster is not None
-    assert a.adopt_voter_set(ROSTER) and one(a, Prepare("k", Ballot(9, "p"))) is None
+    assert a.adopt_voter_set(VOTER_SET) and answer(a, Prepare("k", Ballot(9, "p"))) is None
     asked = a.rejoin()
     assert asked == Rejoin("a", 1)
     known = b.answer_rejoin(asked)
@@ -274,14 +279,14 @@
     assert a.memory.slots["k"] == Slot(Ballot(7, "p"), Ballot(3, "q"), Record(1, b"x", "q:1"))
 
 
-def test_one_that_has_lost_its_own_memory_tells_another_nothing() -> None:
-    assert lost("a").answer_rejoin(Rejoin("b", 1)) is None
+def test_a_voter_without_memory_does_not_answer_a_rejoin_request() -> None:
+    assert voter_without_memory("a").answer_rejoin(Rejoin("b", 1)) is None
 
 
-def test_a_boot_number_that_an_older_start_used_is_not_used_again() -> None:
+def test_the_boot_number_of_an_earlier_start_is_not_reused() -> None:
     b = voter("b")
     b.memory.known_boots["a"] = 4
-    a = lost("a")
+    a = voter_without_memory("a")
     asked = a.rejoin()
     assert asked is not None
     known = b.answer_rejoin(asked)
@@ -289,13 +294,13 @@
     assert a.rejoin() == Rejoin("a", 5)
 
 
-def test_votes_of_a_boot_that_another_vote_knows_to_be_over_do_not_count() -> None:
-    """A promises, loses its memory and comes back before B hears of the ballot: A's promise is void, and with
-    B's it makes no majority. Else the proposer would write over what was chosen meanwhile."""
+def test_votes_of_an_outdated_boot_number_do_not_count() -> None:
+    """A promises, loses its memory and rejoins before B hears of the ballot. A's promise is void and makes no
+    majority with B's; otherwise the proposer would overwrite a record that was chosen meanwhile."""
     a, b, c = voter("a"), voter("b"), voter("c")
     high = Prepare("k", Ballot(9, "slow"))
-    early = one(a, high)
-    a = lost("a")
+    early = answer(a, high)
+    a = voter_without_memory("a")
     asked = a.rejoin()
     assert asked is not None
     for other in (b, c):
@@ -304,21 +309,21 @@
         a.accept_rejoin_answer(known)
     assert a.voting
     for v in (a, c):
-        assert one(v, Accept("k", Ballot(1, "quick"), Record(1, b"x", "quick:1")))
-    late = one(b, high)
+        assert answer(v, Accept("k", Ballot(1, "quick"), Record(1, b"x", "quick:1")))
+    late = answer(b, high)
     assert early is not None and late is not None and early.granted and late.granted
     assert valid_grants([early, late]) == [late]
 
 
-def test_a_roster_of_an_even_number_is_none() -> None:
+def test_an_even_number_of_founding_voters_is_refused() -> None:
     with pytest.raises(ValueError, match="odd"):
         founding_voter_set("abcd")
 
 
-# -- disk
+# -- the file of a voter
 
 
-def test_memory_comes_back_as_it_was(tmp_path: Path) -> None:
+def test_a_saved_memory_is_loaded_unchanged(tmp_path: Path) -> None:
     disk = disks.Disk(str(tmp_path), "f", "a")
     assert disk.load() is None
     disk.found(NAMES)
@@ -329,7 +334,7 @@
         disk.found(NAMES)
 
 
-CASES: dict[str, tuple[Callable[[bytes], bytes], str]] = {
+DAMAGED_FILES: dict[str, tuple[Callable[[bytes], bytes], str]] = {
     "cut": (lambda raw: raw[:-3], "torn"),
     "short": (lambda raw: raw[:5], "shorter than its header"),
     "bit": (lambda raw: raw[:-1] + bytes([raw[-1] ^ 1]), "torn"),
@@ -339,12 +344,12 @@
 }
 
 
-@pytest.mark.parametrize("case", list(CASES))
-def test_a_torn_file_is_told_in_one_line_and_never_believed(tmp_path: Path, case: str) -> None:
+@pytest.mark.parametrize("case", list(DAMAGED_FILES))
+def test_a_damaged_file_is_refused_with_one_line(tmp_path: Path, case: str) -> None:
     disk = disks.Disk(str(tmp_path), "f", "a")
     disk.found(NAMES)
-    spoil, message = CASES[case]
-    Path(disk.path).write_bytes(spoil(Path(disk.path).read_bytes()))
+    damage, message = DAMAGED_FILES[case]
+    Path(disk.path).write_bytes(damage(Path(disk.path).read_bytes()))
     with pytest.raises(disks.TornError, match=message) as caught:
         disk.load()
     assert "\n" not in str(caught.value)
@@ -357,10 +362,10 @@
         disks.Disk(str(tmp_path), "f", "b").load()
 
 
-def test_a_disk_that_takes_nothing_leaves_the_old_memory(tmp_path: Path) -> None:
+def test_a_failed_write_leaves_the_old_memory(tmp_path: Path) -> None:
     disk = disks.Disk(str(tmp_path), "f", "a")
     disk.found(NAMES)
-    (tmp_path / "voter-a.state.new").mkdir()  # stands in the way of the write
+    (tmp_path / "voter-a.state.new").mkdir()  # makes the write fail
     assert not disk.save(Memory("f", "a", 9, {}, {}))
     memory = disk.load()
     assert memory is not None and memory.boot == 0
@@ -377,7 +382,7 @@
     roster_out = {"number": 0, "sets": [{"a": "", "b": "", "c": ""}]}
     slot = Slot(ballot, ballot, record)
     slot_out = {"promised": ballot_out, "accepted": ballot_out, "record": record_out}
-    vote = Vote("a", 1, True, ballot, ballot, record, {"b": 2}, "a/1:1", ROSTER, ["k"])
+    vote = Vote("a", 1, True, ballot, ballot, record, {"b": 2}, "a/1:1", VOTER_SET, ["k"])
     vote_out = {"type": "Vote", "voter": "a", "boot": 1, "granted": True, "ballot": ballot_out}
     vote_out |= {"accepted": ballot_out, "record": record_out, "boots": {"b": 2}, "seat": "a/1:1"}
     vote_out |= {"roster": roster_out, "keys": ["k"]}
@@ -395,12 +400,12 @@
         (ListKeys(), {"type": "Keys"}),
         (AddVoter("t"), {"type": "Enlist", "token": "t"}),
         (Rejoin("a", 1), {"type": "Rejoin", "voter": "a", "boot": 1}),
-        (Seated(ROSTER), {"type": "Seated", "roster": roster_out}),
+        (Seated(VOTER_SET), {"type": "Seated", "roster": roster_out}),
         (vote, vote_out),
         (Vote("a", 1, False), {"type": "Vote", "voter": "a", "boot": 1, "granted": False}),
-        (Known("a", 1, 2, 3, {"k": slot}, {"b": 2}, ROSTER), known_out),
+        (Known("a", 1, 2, 3, {"k": slot}, {"b": 2}, VOTER_SET), known_out),
         (
-            Memory("f", "a", 1, {"k": slot}, {"b": 2}, ROSTER, "a/1:1", "t"),
+            Memory("f", "a", 1, {"k": slot}, {"b": 2}, VOTER_SET, "a/1:1", "t"),
             memory_out | {"roster": roster_out, "seat": "a/1:1", "token": "t"},
         ),
         (version_1, memory_out | {"voters": ["a"]}),
@@ -418,11 +423,11 @@
 # -- histories
 
 
-def test_the_checker_knows_what_no_register_does() -> None:
+def test_the_checker_refuses_histories_that_are_not_linearizable() -> None:
     write = Op(0, 1, "change", wrote="x")
     assert linearizable([write, Op(2, 3, "read", saw="x")])
     assert not linearizable([write, Op(2, 3, "read", saw="")]), "a stale read"
-    assert not linearizable([write, Op(2, 3, "change", over="", wrote="y")]), "two over one"
+    assert not linearizable([write, Op(2, 3, "change", over="", wrote="y")]), "two changes over one record"
     assert linearizable([Op(0, float("inf"), "maybe", wrote="x"), Op(2, 3, "read", saw="")])
     seen_then_not = [Op(2, 3, "read", saw="x"), Op(4, 5, "read", saw="")]
     assert not linearizable([Op(0, float("inf"), "maybe", wrote="x"), *seen_then_not])
@@ -430,9 +435,9 @@
 
 @pytest.mark.parametrize("trusted", [False, True])
 def test_histories_under_faults_are_linearizable(trusted: bool) -> None:
-    judged = [register_history.play(seed, trusted) for seed in range(60)]
-    assert [one.seed for one in judged if not one.ok] == []
-    assert sum(one.known for one in judged) > 500, "most calls end, or the judge sees nothing"
+    histories = [register_history.play(seed, trusted) for seed in range(60)]
+    assert [one.seed for one in histories if not one.ok] == []
+    assert sum(one.known for one in histories) > 500, "most calls end, or the checker has too little to check"
 
 
 def test_a_seed_gives_the_same_history_each_time() -> None:
@@ -442,22 +447,25 @@
 @pytest.mark.parametrize(
     ("bug", "seeds"), [("stale", range(20, 21)), ("ballot", range(299, 300)), ("forget", range(27, 28))]
 )
-def test_planted_bugs_of_the_register_are_found(bug: str, seeds: range) -> None:
+def test_injected_faults_of_the_register_are_found(bug: str, seeds: range) -> None:
     plant = {"stale": register_history.stale_read, "ballot": register_history.ballot_again}.get(bug)
     assert not all(register_history.play(seed, plant=plant, forget=bug == "forget").ok for seed in seeds)
 
 
-def test_a_first_question_tells_that_no_boot_was_known() -> None:
+def test_the_answer_to_a_first_rejoin_request_says_that_no_boot_was_known() -> None:
     known = voter("b").answer_rejoin(Rejoin("a", 1))
     assert isinstance(known, Known) and known.requested_boot == 1 and known.previous_boot == 0
 
 
-def test_no_order_of_events_lets_two_change_one_record() -> None:
-    """Eight events are the fewest by which both could: two rounds of two votes each."""
-    walk = Walk(8, tries=1).run()
-    assert not walk.wrong and walk.states > 50_000
-    assert (Result.DONE, Result.CONFLICT) in walk.ends and (Result.UNKNOWN, Result.DONE) in walk.ends
+def test_no_order_of_events_lets_two_proposers_change_one_record() -> None:
+    """Eight events are the fewest by which both could succeed: two rounds of two votes for each."""
+    model_check = Walk(8, tries=1).run()
+    assert not model_check.wrong and model_check.states > 50_000
+    assert (Result.DONE, Result.CONFLICT) in model_check.ends and (
+        Result.UNKNOWN,
+        Result.DONE,
+    ) in model_check.ends
 
 
-def test_the_walk_finds_a_voter_that_breaks_its_promise() -> None:
+def test_the_model_check_finds_a_voter_that_breaks_its_promise() -> None:
     assert Walk(8, tries=1, broken=True).run().wrong
