--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -1,4 +1,5 @@
-"""Ownership of duties: leases, epochs, handing over, spreading, fences; and one member's steps under them."""
+"""Tests of the ownership of duties: leases, epochs, handover, balancing and fences, and the steps of one
+member under them."""
 
 from __future__ import annotations
 
@@ -24,77 +25,77 @@
     return Record(version, Put(EMPTY_RECORD, lease).value(), writer or f"{lease.owner}:{lease.attempt}")
 
 
-def stands(rec: Record) -> Outcome:
-    return Outcome(Result.DONE, rec)
+def done(current: Record) -> Outcome:
+    return Outcome(Result.DONE, current)
 
 
-def looked(duty: Duty, rec: Record, now: float) -> None:
-    """The duty glances and sees this record."""
+def read_unverified(duty: Duty, current: Record, now: float) -> None:
+    """The duty reads this record by an unverified read."""
     duty.sending(Look(False), now)
-    duty.heard(stands(rec), now)
+    duty.heard(done(current), now)
 
 
-def taken(me: str = "a/1", now: float = 0.0) -> Duty:
-    """A duty that `me` took at `now`."""
-    duty = Duty("d", me, TERMS)
-    looked(duty, EMPTY_RECORD, now)
+def owned_duty(owner_id: str = "a/1", now: float = 0.0) -> Duty:
+    """A duty that this owner acquired at `now`."""
+    duty = Duty("d", owner_id, TERMS)
+    read_unverified(duty, EMPTY_RECORD, now)
     duty.due = now
     asked = duty.want(now, True, 0)
     assert isinstance(asked, Put)
     duty.sending(asked, now)
-    duty.heard(stands(record(asked.lease)), now + 10.0)
+    duty.heard(done(record(asked.lease)), now + 10.0)
     return duty
 
 
-def test_the_lease_counts_from_the_sending_and_ends_by_itself() -> None:
-    duty = taken()
+def test_the_lease_counts_from_the_sending_of_the_write_and_expires() -> None:
+    duty = owned_duty()
     assert duty.owns(999.9) == 1 and duty.owns(1000.0) is None and duty.owns(10.0) is None
 
 
-def test_a_pause_is_seen_on_waking_before_anything_is_done() -> None:
-    duty = taken()
+def test_an_owner_that_wakes_from_a_pause_finds_its_lease_expired() -> None:
+    duty = owned_duty()
     assert duty.owns(50_000.0) is None and duty.changes[-1] == "no longer owned, epoch 1: its lease ran out"
 
 
-def test_the_others_wait_longer_than_the_lease_by_both_clocks() -> None:
+def test_the_others_wait_longer_than_the_lease_by_the_drift_of_both_clocks() -> None:
     assert math.isclose(TERMS.wait, 1000.0 * 1.01 / 0.99)
     duty = Duty("d", "b/1", TERMS)
-    looked(duty, record(Lease("a/1", 4, 7)), 100.0)
+    read_unverified(duty, record(Lease("a/1", 4, 7)), 100.0)
     duty.due = 0.0
     assert duty.want(100.0 + TERMS.wait - 0.1, True, 0) == Look(False)
     asked = duty.want(100.0 + TERMS.wait, True, 0)
     assert isinstance(asked, Put) and (asked.lease.owner, asked.lease.epoch) == ("b/1", 5)
 
 
-def test_a_renewal_starts_the_wait_anew_also_under_the_same_version() -> None:
-    """Two tries for one version: the one that was seen may have lost to the other."""
+def test_a_renewal_restarts_the_wait_also_under_the_same_version() -> None:
+    """Two writes may propose one version, and the one that was read need not be the one that was chosen."""
     duty = Duty("d", "b/1", TERMS)
-    looked(duty, record(Lease("a/1", 4, 7), 3, "first"), 0.0)
-    looked(duty, record(Lease("a/1", 4, 8), 3, "second"), 900.0)
+    read_unverified(duty, record(Lease("a/1", 4, 7), 3, "first"), 0.0)
+    read_unverified(duty, record(Lease("a/1", 4, 8), 3, "second"), 900.0)
     assert duty.available_at(0) == 900.0 + TERMS.wait
 
 
-def test_a_drift_that_makes_no_sense_is_refused() -> None:
+def test_a_drift_out_of_range_is_refused() -> None:
     for drift in (-0.1, 0.5, math.nan):
         with pytest.raises(ValueError, match="drift"):
             Terms.of(1000.0, drift, 250.0)
 
 
-def test_an_unfit_one_only_looks() -> None:
+def test_an_ineligible_member_only_reads() -> None:
     duty = Duty("d", "b/1", TERMS)
-    looked(duty, EMPTY_RECORD, 0.0)
+    read_unverified(duty, EMPTY_RECORD, 0.0)
     duty.due = 0.0
     assert duty.want(10_000.0, False, 0) == Look(False)
 
 
-def test_those_with_duties_claim_later() -> None:
+def test_a_member_with_duties_acquires_another_later() -> None:
     duty = Duty("d", "b/1", TERMS)
-    looked(duty, EMPTY_RECORD, 0.0)
+    read_unverified(duty, EMPTY_RECORD, 0.0)
     assert duty.available_at(0) == 0.0 and duty.available_at(3) == 3.0 * TERMS.stagger_ms
 
 
-def test_a_renewal_in_doubt_neither_extends_nor_ends_and_is_read_for_sure() -> None:
-    duty = taken()
+def test_a_renewal_of_unknown_outcome_changes_nothing_until_a_verified_read() -> None:
+    duty = owned_duty()
     duty.due = 0.0
     asked = duty.want(400.0, True, 1)
     assert isinstance(asked, Put)
@@ -104,94 +105,94 @@
     duty.due = 0.0
     assert duty.want(800.0, True, 1) == Look(True)
     duty.sending(Look(True), 800.0)
-    duty.heard(stands(record(asked.lease, 2)), 850.0)
-    assert duty.until == 1400.0, "it had come through, so it counts from its sending"
+    duty.heard(done(record(asked.lease, 2)), 850.0)
+    assert duty.until == 1400.0, "it was chosen, so the lease counts from its sending"
 
 
-def test_a_glance_never_extends_a_lease() -> None:
-    duty = taken()
+def test_an_unverified_read_never_extends_a_lease() -> None:
+    duty = owned_duty()
     until = duty.until
     duty.due = 0.0
     asked = duty.want(400.0, True, 1)
     assert isinstance(asked, Put)
     duty.sending(asked, 400.0)
     duty.heard(Outcome(Result.UNKNOWN), 500.0)
-    looked(duty, record(asked.lease, 2), 550.0)
+    read_unverified(duty, record(asked.lease, 2), 550.0)
     assert duty.until == until
 
 
-def test_an_older_try_that_stands_is_not_taken_for_the_newer() -> None:
-    """Each try has a turn of its own, else the lease would count from the sending of the one that was
-    lost."""
-    duty = taken()
-    turns = []
+def test_an_older_write_that_is_chosen_is_not_taken_for_the_newer() -> None:
+    """Each write has its own attempt number; otherwise the lease would count from the sending of the newer
+    write, which was lost."""
+    duty = owned_duty()
+    attempts = []
     for now in (400.0, 500.0):
         duty.due = 0.0
         duty.record_is_known = True
         asked = duty.want(now + 400.0, True, 1)
         assert isinstance(asked, Put)
-        turns.append(asked.lease.attempt)
+        attempts.append(asked.lease.attempt)
         duty.sending(asked, now)
         duty.heard(Outcome(Result.UNKNOWN), now + 50.0)
-    assert turns[0] != turns[1]
+    assert attempts[0] != attempts[1]
     duty.sending(Look(True), 560.0)
-    duty.heard(stands(record(Lease("a/1", 1, turns[0]), 2)), 580.0)
+    duty.heard(done(record(Lease("a/1", 1, attempts[0]), 2)), 580.0)
     assert duty.until == 1000.0
 
 
-def test_one_whose_duty_was_taken_stops() -> None:
-    duty = taken()
+def test_an_owner_stops_when_its_duty_was_taken_by_another() -> None:
+    duty = owned_duty()
     duty.sending(Look(True), 500.0)
-    duty.heard(stands(record(Lease("b/1", 2, 1), 2)), 510.0)
+    duty.heard(done(record(Lease("b/1", 2, 1), 2)), 510.0)
     assert duty.owns(511.0) is None and "taken by b/1" in duty.changes[-1]
 
 
-def test_an_earlier_start_of_ours_is_another_owner() -> None:
+def test_an_earlier_start_of_the_same_member_is_another_owner() -> None:
     duty = Duty("d", "a/2", TERMS)
-    looked(duty, record(Lease("a/1", 4, 7)), 0.0)
+    read_unverified(duty, record(Lease("a/1", 4, 7)), 0.0)
     assert duty.available_at(0) == TERMS.wait
 
 
-def test_what_it_gave_up_it_does_no_more_and_the_heir_goes_first() -> None:
-    duty = taken()
+def test_a_released_duty_is_not_worked_on_and_its_heir_comes_first() -> None:
+    duty = owned_duty()
     duty.give_up("b")
     assert duty.owns(100.0) is None
     asked = duty.want(100.0, True, 1)
     assert isinstance(asked, Put) and (asked.lease.owner, asked.lease.heir, asked.lease.epoch) == ("", "b", 1)
     duty.sending(asked, 100.0)
-    duty.heard(stands(record(asked.lease, 2)), 110.0)
-    given = record(asked.lease, 2)
+    duty.heard(done(record(asked.lease, 2)), 110.0)
+    released = record(asked.lease, 2)
     heir, other = Duty("d", "b/1", TERMS), Duty("d", "c/1", TERMS)
     for one in (heir, other):
-        looked(one, given, 120.0)
+        read_unverified(one, released, 120.0)
     assert heir.available_at(0) == 120.0 and other.available_at(0) == 120.0 + TERMS.successor_wait_ms
 
 
-def test_a_record_that_is_something_else_is_left_alone() -> None:
+def test_a_record_that_holds_no_lease_is_left_unchanged() -> None:
     duty = Duty("d", "a/1", TERMS)
     duty.sending(Look(False), 0.0)
-    duty.heard(stands(Record(1, b"\xff?", "x")), 1.0)
+    duty.heard(done(Record(1, b"\xff?", "x")), 1.0)
     assert duty.changes == ["its record cannot be read"] and duty.want(100.0, True, 0) is None
 
 
-def test_progress_stays_though_its_record_failed() -> None:
-    """Done, its write in doubt, the lease over, then the write found to stand without it: the step is not
-    forgotten."""
-    duty = taken()
+def test_a_completed_step_is_kept_if_its_write_failed() -> None:
+    """A step is completed while a renewal is under way, the lease expires, and then the renewal is found to
+    be chosen, without the step: it stays completed."""
+    duty = owned_duty()
     duty.due = 0.0
     asked = duty.want(400.0, True, 1)
     assert isinstance(asked, Put)
     duty.sending(asked, 400.0)
     duty.advance(1)
     duty.owns(1200.0)
-    duty.heard(stands(record(asked.lease, 2)), 1210.0)
+    duty.heard(done(record(asked.lease, 2)), 1210.0)
     assert duty.owns(1211.0) == 1 and duty.completed_step == 1 and duty.recorded() == 0
     duty.due = 0.0
     again = duty.want(1212.0, True, 1)
     assert isinstance(again, Put) and again.lease.progress == 1
 
 
-def test_a_lease_reads_back_as_it_was_written() -> None:
+def test_a_lease_is_decoded_as_it_was_encoded() -> None:
     lease = Lease("a/1", 3, 9, "b", 17)
     assert opened(record(lease)) == lease and opened(EMPTY_RECORD) == Lease()
 
@@ -201,23 +202,23 @@
 
 
 @pytest.mark.parametrize(
-    ("owners", "me", "fit", "wanted"),
+    ("owners", "own_name", "eligible", "expected"),
     [
         (OWNERS, "a", ["a", "b", "c", "d"], ("d3", "d")),  # the zone with the fewest, before the name
         (OWNERS, "a", ["a", "b"], ("d3", "b")),
         (OWNERS, "b", ["a", "b", "c"], None),
-        ({"d1": "a"}, "a", ["a", "b"], None),  # one apart is even
+        ({"d1": "a"}, "a", ["a", "b"], None),  # a difference of one is balanced
         (OWNERS, "a", ["a"], None),
         (OWNERS, "a", [], None),
     ],
 )
-def test_duties_are_evened_out_one_at_a_time(
-    owners: dict[str, str], me: str, fit: list[str], wanted: tuple[str, str] | None
+def test_duties_are_balanced_one_at_a_time(
+    owners: dict[str, str], own_name: str, eligible: list[str], expected: tuple[str, str] | None
 ) -> None:
-    assert rebalance(owners, me, fit, ZONES) == wanted
+    assert rebalance(owners, own_name, eligible, ZONES) == expected
 
 
-def test_evening_out_comes_to_an_end() -> None:
+def test_balancing_comes_to_an_end() -> None:
     owners = {f"d{i}": "a" for i in range(20)}
     names = ["a", "b", "c", "d"]
     for _ in range(100):
@@ -228,7 +229,7 @@
     assert not moves and all(list(owners.values()).count(n) == 5 for n in names)
 
 
-def test_a_fence_refuses_what_is_older_than_the_newest_it_met() -> None:
+def test_a_fence_refuses_epochs_older_than_the_newest_it_met() -> None:
     fence = Fence({"d": 3})
     assert [fence.admits("d", epoch) for epoch in (2, 3, 5, 4, 5)] == [False, True, True, False, True]
     assert fence.admits("other", 1)
@@ -244,7 +245,7 @@
     """A fleet of one member and one voter that owns its duty since 0."""
     plan = Plan(("v",), (WORK,), TERMS, PACE, 250.0, 3000.0)
     fleet = Fleet(Rumour("a", ("127.0.0.1", 1), "z", 1, State.ALIVE), "1", {}, plan, lambda: 0.5, 0.0)
-    fleet.duties["d"] = taken(fleet.ident)
+    fleet.duties["d"] = owned_duty(fleet.ident)
     return fleet
 
 
@@ -257,17 +258,17 @@
     assert not fleet.effects
     duty = fleet.duties["d"]
     assert isinstance(duty.asked, Put) and duty.asked.lease.progress == 1
-    duty.heard(stands(record(duty.asked.lease, 2)), 210.0)
+    duty.heard(done(record(duty.asked.lease, 2)), 210.0)
     fleet.tick(211.0)
     assert [one.step for one in fleet.effects] == [2]
 
 
-def test_a_step_that_fails_is_tried_again_later_each_time() -> None:
+def test_a_failed_step_is_retried_with_a_growing_delay() -> None:
     fleet = owner()
     times = []
     now = 20.0
     while now < 900.0 and len(times) < 4:
-        fleet.duties["d"].due = 1e9  # nothing of the lease here
+        fleet.duties["d"].due = 1e9  # no requests to the register
         fleet.tick(now)
         if fleet.effects:
             times.append(now)
@@ -277,8 +278,8 @@
     assert [round(b - a) for a, b in pairwise(times)] == [50, 100, 200]
 
 
-def test_a_step_under_a_lease_that_ran_out_is_offered_again_where_the_lease_is_found_to_stand() -> None:
-    """Left as under way it would wait for a record that nobody writes."""
+def test_a_step_under_an_expired_lease_is_offered_again_if_a_renewal_was_chosen_after_all() -> None:
+    """If the step stayed under way, it would wait for a record that nobody writes."""
     fleet = owner()
     duty = fleet.duties["d"]
     fleet.tick(20.0)
@@ -287,12 +288,12 @@
     duty.due = 1e9
     fleet.tick(1500.0)
     assert duty.epoch is None and fleet.steps.doing["d"].until is None
-    duty.epoch, duty.until = 1, 3000.0  # a renewal had come through after all
+    duty.epoch, duty.until = 1, 3000.0  # a renewal was chosen after all
     fleet.tick(1600.0)
     assert [(one.epoch, one.step) for one in fleet.effects] == [(first.epoch, first.step)]
 
 
-def test_an_effect_has_until_its_deadline_or_the_end_of_the_lease() -> None:
+def test_an_effect_ends_at_its_deadline_or_at_the_end_of_the_lease() -> None:
     fleet = owner()
     fleet.steps.doing["d"].epoch, fleet.steps.doing["d"].due = 1, 0.0
     fleet.duties["d"].due = 1e9
@@ -300,30 +301,30 @@
     assert fleet.effects[0].until == 1000.0
 
 
-def test_without_its_lease_it_begins_nothing() -> None:
+def test_a_member_without_its_lease_begins_no_step() -> None:
     fleet = owner()
     fleet.tick(60_000.0)
     assert not fleet.effects and fleet.owned(60_000.0) == []
 
 
-def test_leaving_gives_its_duties_up_at_once() -> None:
+def test_a_member_that_drains_releases_its_duties_at_once() -> None:
     fleet = owner()
     fleet.leave(100.0)
     asked = fleet.duties["d"].asked
     assert isinstance(asked, Put) and asked.lease.owner == "" and fleet.members.me.state is State.LEFT
 
 
-# -- budgets of the scheduler
+# -- limits of the step scheduler
 
 
-def several(together: int, **works: Work) -> Steps:
+def scheduler(together: int, **works: Work) -> Steps:
     """Steps of duties that are all owned until 1000."""
-    duties = {name: taken() for name in works}
+    duties = {name: owned_duty() for name in works}
     return Steps(works.values(), duties, together)
 
 
-def test_no_more_steps_are_under_way_than_one_member_may_have_and_none_starves() -> None:
-    steps = several(2, **{name: Work(name, 10.0, 400.0, 50.0) for name in "abcd"})
+def test_the_number_of_steps_under_way_is_bounded_and_no_duty_starves() -> None:
+    steps = scheduler(2, **{name: Work(name, 10.0, 400.0, 50.0) for name in "abcd"})
     begun: list[str] = []
     now = 20.0
     for _ in range(12):
@@ -337,8 +338,8 @@
     assert {name: begun.count(name) for name in "abcd"} == dict.fromkeys("abcd", 6)
 
 
-def test_a_full_member_waits_for_an_end_and_not_for_a_due_time() -> None:
-    steps = several(1, a=Work("a", 10.0, 400.0, 50.0), b=Work("b", 10.0, 300.0, 50.0))
+def test_a_member_at_its_limit_waits_until_a_step_ends() -> None:
+    steps = scheduler(1, a=Work("a", 10.0, 400.0, 50.0), b=Work("b", 10.0, 300.0, 50.0))
     (first,) = steps.tick(20.0)
     assert first.duty == "a" and steps.due() == 420.0 and not steps.tick(100.0)
     steps.did(first, False, 120.0)
@@ -347,8 +348,9 @@
 
 @pytest.mark.parametrize(("share", "next_at"), [(1.0, 130.0), (0.25, 420.0), (0.5, 220.0)])
 def test_a_duty_keeps_to_its_share_of_time(share: float, next_at: float) -> None:
-    """A step of 100 ms; what follows it is the wait between steps, or longer where the share asks for it."""
-    steps = several(1, a=Work("a", 10.0, 400.0, 50.0, share))
+    """A step of 100 ms is followed by the interval between steps, or by a longer wait if the share requires
+    it."""
+    steps = scheduler(1, a=Work("a", 10.0, 400.0, 50.0, share))
     (first,) = steps.tick(20.0)
     steps.did(first, True, 120.0)
     steps.duties["a"].lease = Lease("a/1", 1, 1, "", 1)
@@ -356,14 +358,14 @@
     assert not steps.tick(next_at - 0.1) and steps.tick(next_at)
 
 
-def test_failures_count_into_the_share_too() -> None:
-    steps = several(1, a=Work("a", 10.0, 400.0, 50.0, 0.1))
+def test_failed_steps_count_towards_the_share() -> None:
+    steps = scheduler(1, a=Work("a", 10.0, 400.0, 50.0, 0.1))
     (first,) = steps.tick(20.0)
     steps.tick(first.until)
     assert steps.due() == pytest.approx(first.until + 3600.0)
 
 
-def test_a_file_read_anew_changes_how_duties_are_worked_on_and_nothing_else() -> None:
+def test_a_reloaded_file_changes_how_duties_are_worked_on_and_nothing_else() -> None:
     old = Bounds(
         name="f",
         voters=("a", "b", "c"),
@@ -378,14 +380,14 @@
         even_ms=500.0,
         duties={"d": DutyOf(to="127.0.0.1:9", every_ms=50.0, share=0.5), "new": DutyOf()},
     )
-    held = taken_over(old, new)
-    assert (held.together, held.even_ms, held.lease_ms) == (2, 500.0, 2000.0)
+    merged = taken_over(old, new)
+    assert (merged.together, merged.even_ms, merged.lease_ms) == (2, 500.0, 2000.0)
     changed = DutyOf(to="127.0.0.1:1", every_ms=50.0, share=0.5)
-    assert held.duties == {"d": changed, "gone": old.duties["gone"]}
-    assert waiting(held, new) == ["voters", "lease_ms", "duties"]
+    assert merged.duties == {"d": changed, "gone": old.duties["gone"]}
+    assert waiting(merged, new) == ["voters", "lease_ms", "duties"]
 
 
-def test_steps_go_on_under_figures_that_were_taken_over() -> None:
+def test_steps_continue_under_reloaded_options() -> None:
     fleet = owner()
     fleet.tick(20.0)
     fleet.retune(Plan(("x",), (Work("d", 1000.0, 50.0, 50.0, 0.5),), TERMS, PACE, 9.0, 7.0, together=1))
@@ -397,23 +399,25 @@
 # -- all orders of events
 
 
-def test_no_order_of_events_gives_a_duty_two_owners() -> None:
-    walk = Walk(12).run(owned=True)
-    assert not walk.wrong and len(walk.seen) > 40_000 and walk.handed_on > 1000
-    assert walk.taken_by == {"a/1", "b/1"}
+def test_no_order_of_events_gives_an_owned_duty_two_owners() -> None:
+    model_check = Walk(12).run(owned=True)
+    assert not model_check.wrong and len(model_check.seen) > 40_000 and model_check.handed_on > 1000
+    assert model_check.taken_by == {"a/1", "b/1"}
 
 
-def test_nor_does_one_from_where_nobody_has_owned_it() -> None:
-    walk = Walk(10).run()
-    assert not walk.wrong and walk.taken_by == {"a/1", "b/1"}
+def test_no_order_of_events_gives_a_new_duty_two_owners() -> None:
+    model_check = Walk(10).run()
+    assert not model_check.wrong and model_check.taken_by == {"a/1", "b/1"}
 
 
 @pytest.mark.parametrize(
     ("plant", "depth"), [(counts_from_the_answer, 14), (believes_a_glance, 12), (one_turn, 11)]
 )
-def test_the_walk_finds_planted_bugs_of_ownership(plant: Callable[[Duty], None], depth: int) -> None:
+def test_the_model_check_finds_injected_faults_of_ownership(
+    plant: Callable[[Duty], None], depth: int
+) -> None:
     assert Walk(depth, plant=plant).run(owned=True).wrong
 
 
-def test_the_walk_finds_a_wait_shorter_than_the_lease() -> None:
+def test_the_model_check_finds_a_wait_shorter_than_the_lease() -> None:
     assert Walk(12, Terms(3.0, 2.0, 1.0, 1.0, 0.0, 2.0)).run(owned=True).wrong
--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -1,4 +1,5 @@
-"""Voters replaced while the register runs: rosters, seats, the steps of a change, histories meanwhile."""
+"""Tests of the replacement of voters: voter sets, voter identities, the steps of a change, and histories of
+the register meanwhile."""
 
 from __future__ import annotations
 
@@ -33,100 +34,103 @@
 ABD = JOINT.complete_change()
 
 
-class Net:
-    """Voters a to e in this process, of which a, b and c begin; carries a proposer's calls through the
-    program's own Calls. Who is in `away` hears nothing."""
+class Network:
+    """Voters a to e in this process, of which a, b and c vote at first. Runs a proposer's calls by Calls.
+    Messages to a voter in `away` are lost."""
 
     def __init__(self) -> None:
-        self.now, self.away, self.starts = 0.0, set[str](), 0
-        self.kept: dict[str, bytes] = {}
+        self.now = 0.0
+        self.away = set[str]()
+        self.starts = 0
+        self.files: dict[str, bytes] = {}
         self.voters: dict[str, Voter] = {}
         for name in "abcde":
             if name in ABC.names:
-                self.kept[name] = disks.encode(Memory("f", name, 0, {}, {}, ABC))
+                self.files[name] = disks.encode(Memory("f", name, 0, {}, {}, ABC))
             self.start(name)
 
-    def start(self, name: str, whole: bool = True) -> Voter:
+    def start(self, name: str, is_trusted: bool = True) -> Voter:
         self.starts += 1
-        raw = self.kept.get(name)
+        raw = self.files.get(name)
 
-        def keep(memory: Memory) -> bool:
-            self.kept[name] = disks.encode(memory)
+        def save(memory: Memory) -> bool:
+            self.files[name] = disks.encode(memory)
             return True
 
         memory = disks.decode(raw) if raw else None
-        ident = f"{name}/{self.starts}"
-        self.voters[name] = Voter(name, ABC.names, memory, keep, "f", whole, ident)
+        instance_id = f"{name}/{self.starts}"
+        self.voters[name] = Voter(name, ABC.names, memory, save, "f", is_trusted, instance_id)
         return self.voters[name]
 
-    def lose(self, name: str) -> Voter:
-        self.kept.pop(name, None)
+    def lose_memory(self, name: str) -> Voter:
+        self.files.pop(name, None)
         return self.start(name)
 
-    def proposer(self, ident: str = "p", roster: Roster | None = None) -> Proposer:
-        return Proposer(ident, roster or guessed("abc"), lambda: 0.5, max_attempts=3)
+    def proposer(self, proposer_id: str = "p", voter_set: Roster | None = None) -> Proposer:
+        return Proposer(proposer_id, voter_set or guessed("abc"), lambda: 0.5, max_attempts=3)
 
     def run(self, call: Any) -> Any:
-        ended: list[Any] = []
-        waiting: list[tuple[str, Any]] = []
-        calls = Calls(100.0, lambda to, letter: waiting.append((to, letter)))
-        calls.start(call, lambda how, _: ended.append(how), self.now)
-        while not ended or waiting:
-            while waiting:
-                to, letter = waiting.pop(0)
-                if to in self.away:
+        results: list[Any] = []
+        sent: list[tuple[str, Any]] = []
+        calls = Calls(100.0, lambda receiver, message: sent.append((receiver, message)))
+        calls.start(call, lambda result, _: results.append(result), self.now)
+        while not results or sent:
+            while sent:
+                receiver, message = sent.pop(0)
+                if receiver in self.away:
                     continue
-                for _, message in replies(self.voters[to], [("p", letter)]):
-                    if isinstance(message, Voted):
-                        calls.heard(to, message, self.now)
+                for _, answer in replies(self.voters[receiver], [("p", message)]):
+                    if isinstance(answer, Voted):
+                        calls.heard(receiver, answer, self.now)
             self.now += 10.0
             calls.tick(self.now)
-        return ended[0]
+        return results[0]
 
     def rejoin(self, name: str) -> bool:
-        """Asks the others once, as the voter's actor does again and again."""
+        """Sends the rejoin request to the others once; the voter's actor repeats it."""
         voter = self.voters[name]
-        asked = voter.rejoin()
-        for other in sorted(voter.others - self.away) if asked else []:
-            for _, message in replies(self.voters[other], [(name, asked)]):  # type: ignore[list-item]
+        request = voter.rejoin()
+        for other in sorted(voter.others - self.away) if request else []:
+            for _, message in replies(self.voters[other], [(name, request)]):  # type: ignore[list-item]
                 replies(voter, [(other, message)])  # type: ignore[list-item]
         return voter.voting
 
     def reseat(self, drop: str, add: str, token: str = "t", proposer: Proposer | None = None) -> Reseated:
-        how: Reseated = self.run(reseat(proposer or self.proposer(token), drop, add, token))
-        return how
+        result: Reseated = self.run(reseat(proposer or self.proposer(token), drop, add, token))
+        return result
 
 
 @pytest.fixture
-def net() -> Net:
-    return Net()
+def net() -> Network:
+    return Network()
 
 
-def written(net: Net, key: str = "k") -> Record:
+def written_record(net: Network, key: str = "k") -> Record:
     outcome: Outcome = net.run(net.proposer("w").change(key, EMPTY_RECORD, b"x"))
     assert outcome.result is Result.DONE
     return outcome.record
 
 
-# -- rosters
+# -- voter sets
 
 
-def test_a_joint_roster_wants_a_majority_of_the_old_and_one_of_the_new() -> None:
+def test_a_joint_configuration_needs_a_majority_of_the_old_and_of_the_new_voters() -> None:
     votes = {"a": "", "b": "", "c": "", "d": "d/1:1"}
 
-    def stands(names: str, **seats: str) -> bool:
-        return JOINT.has_majority((name, (votes | seats)[name]) for name in names)
+    def has_majority(names: str, **identities: str) -> bool:
+        return JOINT.has_majority((name, (votes | identities)[name]) for name in names)
 
-    assert stands("ab") and stands("bcd") and not stands("ad") and not stands("bc") and not stands("cd")
-    assert not stands("ad", d="another seat")
+    assert has_majority("ab") and has_majority("bcd")
+    assert not has_majority("ad") and not has_majority("bc") and not has_majority("cd")
+    assert not has_majority("ad", d="another identity")
     assert ABD.has_majority([("a", ""), ("d", "d/1:1")]) and not ABD.has_majority([("a", ""), ("d", "")])
 
 
-def test_under_a_guess_nothing_stands() -> None:
+def test_the_configured_voters_alone_are_never_a_majority() -> None:
     assert not guessed("abc").has_majority([("a", ""), ("b", ""), ("c", "")])
 
 
-def test_marks_tell_rosters_apart_that_have_one_number() -> None:
+def test_fingerprints_differ_for_voter_sets_of_the_same_number() -> None:
     assert (
         founding_voter_set("abc").fingerprint()
         == founding_voter_set("cba").fingerprint()
@@ -143,30 +147,30 @@
         ("", "d", "4 voters"),
     ],
 )
-def test_a_roster_that_cannot_be_is_told_in_one_line(drop: str, add: str, message: str) -> None:
+def test_an_impossible_change_is_refused_with_one_line(drop: str, add: str, message: str) -> None:
     with pytest.raises(ValueError, match=message):
         ABC.begin_change(drop, dict.fromkeys(add, "s"))
     with pytest.raises(ValueError, match="under way"):
         JOINT.begin_change("a", {})
 
 
-# -- voters and rosters
+# -- voters and voter sets
 
 
-def test_a_voter_refuses_what_was_asked_under_another_roster_and_names_its_own(net: Net) -> None:
+def test_a_voter_refuses_a_request_under_another_voter_set_and_returns_its_own(net: Network) -> None:
     a = net.voters["a"]
     assert a.adopt_voter_set(JOINT) and not a.adopt_voter_set(ABC)
     (vote,) = a.answer_batch([(ABC.fingerprint(), Prepare("k", Ballot(9, "p")))])
     assert vote is not None and not vote.granted and vote.roster == JOINT and not a.memory.slots
-    assert net.start("a").memory.roster == JOINT, "it never goes back to an older one"
+    assert net.start("a").memory.roster == JOINT, "it never returns to an older one"
 
 
-def test_a_roster_that_cannot_be_kept_is_not_gone_by() -> None:
+def test_a_voter_set_is_not_used_if_its_write_fails() -> None:
     a = Voter("a", "abc", Memory("f", "a", 0, {}, {}, ABC), lambda _: False, "f")
     assert not a.adopt_voter_set(JOINT) and a.memory.roster == ABC
 
 
-def test_a_voter_that_is_dropped_says_nothing_more_and_tells_who_votes(net: Net) -> None:
+def test_a_dropped_voter_does_not_vote_and_returns_the_voter_set(net: Network) -> None:
     c = net.voters["c"]
     c.adopt_voter_set(ABD)
     assert not c.voting and c.rejoin() is None
@@ -174,18 +178,18 @@
     assert vote is None and c.answer_rejoin(Rejoin("a", 1)) == Seated(ABD)
 
 
-def test_what_was_forgotten_is_not_written_down_as_a_memory(net: Net) -> None:
-    """A voter without its memory hears of a roster and restarts before it has rejoined: with a file of that
-    it would pass for one that forgot nothing."""
-    a = net.lose("a")
+def test_a_voter_without_its_memory_writes_no_file_when_it_adopts_a_voter_set(net: Network) -> None:
+    """If it restarted before it has rejoined, it would take that file, without its promises, for its
+    memory."""
+    a = net.lose_memory("a")
     a.adopt_voter_set(JOINT)
-    assert not a.voting and "a" not in net.kept and not net.start("a").voting
+    assert not a.voting and "a" not in net.files and not net.start("a").voting
 
 
-def test_one_without_its_memory_waits_for_all_that_vote_by_the_newest_roster_it_hears(net: Net) -> None:
+def test_a_voter_without_its_memory_needs_answers_of_all_voters_of_the_newest_voter_set(net: Network) -> None:
     net.reseat("c", "d")
     net.away = {"c"}
-    a = net.lose("a")
+    a = net.lose_memory("a")
     assert a.others == {"b", "c"}, "by the operators' file"
     net.rejoin("a")
     assert a.others == {"b", "d"} and not a.voting
@@ -195,7 +199,7 @@
     assert net.rejoin("a")
 
 
-def test_enlisting_twice_with_one_token_seats_once(net: Net) -> None:
+def test_adding_a_voter_twice_with_one_token_gives_one_identity(net: Network) -> None:
     d = net.voters["d"]
     d.adopt_voter_set(ABC)
     first, again, other = (
@@ -205,35 +209,35 @@
     assert first.identity == again.identity != other.identity and first.boot == BOOTS_PER_VOTER_SET
 
 
-def test_a_voter_with_a_whole_memory_is_not_enlisted_over_it(net: Net) -> None:
+def test_a_voter_that_votes_is_not_added_again(net: Network) -> None:
     assert net.voters["a"].answer_batch([(ABC.fingerprint(), AddVoter("t"))]) == [None]
 
 
-def test_an_older_copy_of_an_enlisted_voters_disk_does_not_vote_at_once(net: Net) -> None:
+def test_an_added_voter_with_an_older_copy_of_its_file_does_not_vote_at_once(net: Network) -> None:
     d = net.voters["d"]
     d.adopt_voter_set(ABC)
     d.answer_batch([(ABC.fingerprint(), AddVoter("t"))])
     joint = ABC.begin_change("c", {"d": d.memory.seat})
     assert d.adopt_voter_set(joint) and d.voting
     d.answer_batch([(joint.fingerprint(), Prepare("k", Ballot(5, "p")))])
-    net.kept["d"] = disks.encode(Memory("f", "d", 0, {}, {}, ABC, d.memory.seat, "t"))
-    old = net.start("d", whole=False)
+    net.files["d"] = disks.encode(Memory("f", "d", 0, {}, {}, ABC, d.memory.seat, "t"))
+    old = net.start("d", is_trusted=False)
     assert old.adopt_voter_set(joint) and not old.voting and old.rejoin() is not None
 
 
 # -- the change
 
 
-def test_a_voter_is_replaced_and_what_was_chosen_stands(net: Net) -> None:
-    record = written(net)
-    how = net.reseat("c", "d")
-    assert not how.wrong and how.voter_set.names == ("a", "b", "d") and how.voter_set.number == 2
+def test_a_voter_is_replaced_and_chosen_records_stay(net: Network) -> None:
+    record = written_record(net)
+    result = net.reseat("c", "d")
+    assert not result.wrong and result.voter_set.names == ("a", "b", "d") and result.voter_set.number == 2
     net.away = {"a", "c"}
     assert net.run(net.proposer("r").read("k")) == Outcome(Result.DONE, record), "b and d are enough"
 
 
-def test_a_dead_voter_is_replaced_and_may_come_back(net: Net) -> None:
-    record = written(net)
+def test_an_unreachable_voter_is_replaced_and_may_be_added_again(net: Network) -> None:
+    record = written_record(net)
     net.away = {"c"}
     assert not net.reseat("c", "d").wrong
     net.away = {"a"}
@@ -243,7 +247,7 @@
     assert net.reseat("a", "c", "back").voter_set.names == ("b", "c", "d")
 
 
-def test_the_old_voters_alone_choose_nothing_more(net: Net) -> None:
+def test_the_old_voters_alone_choose_nothing_after_a_change(net: Network) -> None:
     net.away = {"c"}
     net.reseat("c", "d")
     net.away = {"d"}
@@ -254,54 +258,55 @@
     assert net.run(stale.read("k")).result is Result.DONE and stale.roster.names == ("a", "b", "d")
 
 
-def test_a_voter_whose_memory_is_gone_begins_anew_under_another_seat(net: Net) -> None:
-    """It can't rejoin, as another is away: dropped and added, it needs no one to tell it anything."""
-    record = written(net)
-    net.lose("c")
+def test_a_voter_that_lost_its_memory_starts_anew_under_another_identity(net: Network) -> None:
+    """It cannot rejoin while another voter is unreachable. If it is dropped and added, it needs no
+    answers."""
+    record = written_record(net)
+    net.lose_memory("c")
     net.away = {"b"}
     assert not net.rejoin("c")
     net.away = set()
     old = net.voters["c"].memory.seat
-    how = net.reseat("c", "c")
-    assert not how.wrong and how.voter_set.seat("c") != old
+    result = net.reseat("c", "c")
+    assert not result.wrong and result.voter_set.seat("c") != old
     assert net.voters["c"].voting and net.voters["c"].memory.slots["k"].record == record
 
 
-def test_one_that_lost_its_new_seat_too_does_not_vote_under_it(net: Net) -> None:
+def test_an_added_voter_that_lost_its_memory_does_not_vote_before_it_rejoins(net: Network) -> None:
     net.reseat("c", "d")
-    net.lose("d")
+    net.lose_memory("d")
     (vote,) = net.voters["d"].answer_batch([(ABD.fingerprint(), Prepare("k", Ballot(1, "p")))])
     assert vote is not None and not vote.granted
-    assert net.voters["d"].rejoin() is None, "by the operators' file it never voted"
-    net.run(net.proposer("r").read("k"))  # asked under the newer roster, it hears that it does
+    assert net.voters["d"].rejoin() is None, "the operators' file does not name it as a voter"
+    net.run(net.proposer("r").read("k"))  # this request tells it of the newer voter set, which includes it
     assert net.rejoin("d") and net.voters["d"].memory.seat == net.voters["a"].memory.roster.seat("d")
 
 
-def test_from_three_to_five_and_back(net: Net) -> None:
-    record = written(net)
+def test_a_change_from_three_voters_to_five_and_back(net: Network) -> None:
+    record = written_record(net)
     assert net.reseat("", "de").voter_set.names == ("a", "b", "c", "d", "e")
     net.away = {"a", "b"}
     assert net.run(net.proposer("r").read("k")).record == record
     assert net.reseat("ab", "", "back").voter_set.names == ("c", "d", "e")
 
 
-def test_a_change_that_stands_half_way_is_ended_by_another(net: Net) -> None:
-    """Whoever does it dies after each of its rounds, one after the other; another ends it, or nothing was
-    begun."""
+def test_an_interrupted_change_is_completed_by_another_proposer(net: Network) -> None:
+    """The first proposer stops after each possible number of rounds; the second completes the change, or
+    finds that none was begun."""
     for rounds in range(1, 40):
-        net = Net()
-        record = written(net)
+        net = Network()
+        record = written_record(net)
         call = reseat(net.proposer("first"), "c", "d", "first")
-        if not net.run(cut(call, rounds)):
+        if not net.run(interrupted(call, rounds)):
             break
-        how = net.reseat("", "", "second")
-        assert not how.wrong and not how.voter_set.joint, rounds
+        result = net.reseat("", "", "second")
+        assert not result.wrong and not result.voter_set.joint, rounds
         assert net.run(net.proposer("r").read("k")).record == record
     assert 10 < rounds < 39
 
 
-def cut(call: Any, rounds: int) -> Iterator[Any]:
-    """A call that ends after so many steps; True where it was cut."""
+def interrupted(call: Any, rounds: int) -> Iterator[Any]:
+    """Runs a call for so many steps at most; True if it was interrupted."""
     step = next(call)
     for _ in range(rounds):
         votes = yield step
@@ -312,9 +317,9 @@
     return True
 
 
-def test_two_changes_at_once_end_in_one_roster_after_the_other(net: Net) -> None:
+def test_two_concurrent_changes_are_applied_one_after_the_other(net: Network) -> None:
     first = reseat(net.proposer("first"), "c", "d", "first")
-    net.run(cut(first, 6))
+    net.run(interrupted(first, 6))
     second = net.reseat("b", "e", "second")
     assert not second.wrong and not second.voter_set.joint and "e" in second.voter_set.names
 
@@ -323,26 +328,26 @@
     ("away", "drop", "add", "message"),
     [("ab", "c", "d", "no majority"), ("d", "c", "d", "takes no seat"), ("", "c", "a", "votes already")],
 )
-def test_what_can_not_be_changed_is_told_in_one_line_and_leaves_the_roster(
-    net: Net, away: str, drop: str, add: str, message: str
+def test_a_failed_change_is_reported_in_one_line_and_leaves_the_voter_set(
+    net: Network, away: str, drop: str, add: str, message: str
 ) -> None:
     net.away = set(away)
-    how = net.reseat(drop, add)
-    assert message in how.wrong and "\n" not in how.wrong
+    result = net.reseat(drop, add)
+    assert message in result.wrong and "\n" not in result.wrong
     net.away = set()
-    assert net.reseat("", "", "look").voter_set == ABC
+    assert net.reseat("", "", "check").voter_set == ABC
 
 
-def test_a_memory_of_the_version_before_is_read() -> None:
+def test_a_file_of_format_version_1_is_read() -> None:
     old = disks.MemoryVersion1("f", "a", 3, {}, {"b": 2}, ["a", "b", "c"])
     body = disks.msgspec.msgpack.encode(old)
     raw = disks.HEADER.pack(disks.MAGIC, 1, len(body), disks.xxhash.xxh3_128_digest(body)) + body
     assert disks.decode(raw) == Memory("f", "a", 3, {}, {"b": 2}, ABC)
 
 
-def test_a_voter_that_goes_by_an_older_roster_is_told_once_in_a_round() -> None:
+def test_a_voter_with_an_older_voter_set_is_sent_the_newer_one_once_a_round() -> None:
     sent: list[tuple[str, Any]] = []
-    calls = Calls(100.0, lambda to, letter: sent.append((to, letter)))
+    calls = Calls(100.0, lambda receiver, message: sent.append((receiver, message)))
     calls.start(Proposer("p", JOINT, lambda: 0.5).read("k"), lambda *_: None, 0.0)
     old = Voter("a", "abc", Memory("f", "a", 0, {}, {}, ABC), lambda _: True, "f")
     first = sent[0][1]
@@ -355,13 +360,13 @@
     assert sent == [("a", Seated(JOINT)), ("a", first)]
 
 
-def test_an_answer_from_one_that_knows_a_newer_roster_is_no_memory_to_go_on_from(net: Net) -> None:
-    a = net.start("a", whole=False)
+def test_a_rejoin_answer_under_a_newer_voter_set_is_not_enough_to_vote(net: Network) -> None:
+    a = net.start("a", is_trusted=False)
     assert not a.accept_rejoin_answer(Known("b", 0, a.memory.boot, 0, {}, {}, ABD))
     assert a.memory.roster == ABD and set(a.heard) == {"b"} and not a.voting
 
 
-def test_voters_that_were_founded_apart_are_told(net: Net) -> None:
+def test_voters_with_different_founding_voter_sets_are_detected(net: Network) -> None:
     net.voters["c"] = Voter(
         "c", "abc", Memory("f", "c", 0, {}, {}, founding_voter_set("cde")), lambda _: True, "f"
     )
@@ -376,23 +381,23 @@
 
 @pytest.mark.parametrize("trusted", [False, True])
 def test_histories_stay_linearizable_while_voters_are_replaced(trusted: bool) -> None:
-    judged = [register_history.play(seed, trusted, change=True) for seed in range(40)]
-    assert [one.seed for one in judged if not one.ok] == []
-    assert sum(one.known for one in judged) > 400 and sum(one.reseated for one in judged) > 12
+    histories = [register_history.play(seed, trusted, change=True) for seed in range(40)]
+    assert [one.seed for one in histories if not one.ok] == []
+    assert sum(one.known for one in histories) > 400 and sum(one.reseated for one in histories) > 12
 
 
-def test_any_order_of_messages_keeps_one_truth_while_voters_are_replaced() -> None:
+def test_histories_stay_linearizable_under_any_order_of_messages() -> None:
     played = [reconfiguration_fuzz.play(seed, loses=seed % 2 == 0) for seed in range(1, 61)]
     assert [seed for seed, one in enumerate(played, 1) if not one.ok] == []
     assert sum(one.known for one in played) > 700 and sum(one.reseated for one in played) > 15
 
 
 @pytest.mark.parametrize(("bug", "seed"), [("no-joint", 16), ("no-rewrite", 16), ("any-roster", 238)])
-def test_planted_bugs_of_the_replacing_are_found(bug: str, seed: int) -> None:
+def test_injected_faults_of_the_replacement_are_found(bug: str, seed: int) -> None:
     assert not reconfiguration_fuzz.play(seed, bug=bug).ok and reconfiguration_fuzz.play(seed).ok
 
 
-def test_a_planted_bug_is_taken_away_again() -> None:
+def test_an_injected_fault_is_removed_again() -> None:
     before = (
         reconfiguration_fuzz.Roster.begin_change,
         reconfiguration_fuzz.reseating.complete_reconfiguration,
