--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, faults, rule checkers and experiments. Never imported by the program."""
+"""Test stand-ins, fault injection, rule checkers and experiments. The program never imports this package."""
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -1,4 +1,4 @@
-"""The rig's command line."""
+"""Command line of the rig."""
 
 from __future__ import annotations
 
@@ -17,25 +17,32 @@
 
 from rig.experiments import EXPERIMENTS, Play, play, scene_of
 
-FLEET = {"fleet-owner": "one owner of each duty at a time, through faults between 5 processes; 3 vote"}
+FLEET_EXPERIMENTS = {
+    "fleet-owner": "each duty has one owner at a time, under faults between 5 processes, 3 of them voters"
+}
 NAME = click.argument("name", type=click.Choice(list(EXPERIMENTS)))
-ANY_NAME = click.argument("name", type=click.Choice([*EXPERIMENTS, *FLEET]))
+ANY_NAME = click.argument("name", type=click.Choice([*EXPERIMENTS, *FLEET_EXPERIMENTS]))
 SUBSYSTEMS = click.Choice(["repeats", "accepting"])
 CHANGES = [
-    click.option("--load", type=click.FloatRange(0.05, 2.0), help="Work asked for over the cores."),
-    click.option("--deaf", type=click.FloatRange(0.0, 1.0), help="Part of the callers that heed nothing."),
+    click.option(
+        "--load", type=click.FloatRange(0.05, 2.0), help="Requested work over the capacity of the cores."
+    ),
+    click.option(
+        "--deaf", type=click.FloatRange(0.0, 1.0), help="Share of the callers that ignore backpressure."
+    ),
     click.option("--backends", type=click.IntRange(2, 64)),
     click.option("--callers", type=click.IntRange(1, 512)),
-    click.option("--quick", is_flag=True, help="Fewer backends and a shorter end."),
+    click.option("--quick", is_flag=True, help="Fewer backends and a shorter time after the fault."),
 ]
 OUT = click.option(
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Keeps result.json, table.md and chart.png there.",
+    help="Folder for result.json, table.md and chart.png.",
 )
 
 
-def changed(command: Any) -> Any:
+def with_changes(command: Any) -> Any:
+    """Adds the options that change a scene."""
     for option in CHANGES:
         command = option(command)
     return command
@@ -43,36 +50,38 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Experiments on the program's own core between stand-ins, on a virtual clock: what the benches cannot
-    show."""
+    """Experiments on the program's own core with simulated callers and machines, on a virtual clock."""
     logger.remove()
 
 
 @main.command("list")
 def list_() -> None:
-    """The experiments, a line each."""
-    for name, one in EXPERIMENTS.items():
-        click.echo(f"{name:14} {one.what}")
-    for name, what in FLEET.items():
-        click.echo(f"{name:14} {what}")
+    """Lists the experiments, one a line."""
+    for name, experiment in EXPERIMENTS.items():
+        click.echo(f"{name:14} {experiment.description}")
+    for name, description in FLEET_EXPERIMENTS.items():
+        click.echo(f"{name:14} {description}")
 
 
-def _end(lines: list[dict[str, Any]], breaks: list[Play]) -> None:
+def _exit(lines: list[dict[str, Any]], violations: list[Play]) -> None:
     click.echo(json.dumps(lines[0] if len(lines) == 1 else {"plays": lines}))
-    for one in breaks:
+    for one in violations:
         click.echo(f"seed {one.seed}: {one.first_break}", err=True)
-    sys.exit(1 if breaks else 0)
+    sys.exit(1 if violations else 0)
 
 
 @main.command("play")
 @ANY_NAME
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--off", type=SUBSYSTEMS, help="Plays without this subsystem.")
-@click.option("--real", is_flag=True, help="With real processes on loopback, in real time.")
-@click.option("--virtual", is_flag=True, help="Of a fleet: its decisions on the virtual clock.")
-@click.option("--bug", help="Of a fleet: 'fence' for a resource without one; with --virtual a planted bug.")
-@click.option("--reseats", is_flag=True, help="Of a fleet with --virtual: voters are replaced too.")
-@changed
+@click.option("--off", type=SUBSYSTEMS, help="Run without this subsystem.")
+@click.option("--real", is_flag=True, help="Run real processes on loopback, in real time.")
+@click.option("--virtual", is_flag=True, help="For fleet experiments: run on the virtual clock.")
+@click.option(
+    "--bug",
+    help="For fleet experiments: the fault to inject; 'fence' is a resource that does not check epochs.",
+)
+@click.option("--reseats", is_flag=True, help="For fleet experiments with --virtual: replace voters too.")
+@with_changes
 @OUT
 def play_(
     name: str,
@@ -86,8 +95,8 @@
     out: Path | None,
     **changes: Any,
 ) -> None:
-    """Plays one experiment once. The last line on standard output is a JSON object."""
-    if name in FLEET:
+    """Runs one experiment once. The last line on standard output is a JSON object."""
+    if name in FLEET_EXPERIMENTS:
         _play_fleet(name, seed, virtual, bug, reseats, quick, out)
         return
     scene = scene_of(name, off, quick, **changes)
@@ -95,12 +104,12 @@
         task = bar.add_task(name, total=1.0)
         one = play(name, seed, scene, lambda done: bar.update(task, completed=done), real)
     if out is not None:
-        from rig.results import keep
+        from rig.results import save
 
-        keep([("off" if off else "on", one)], out, f"{name}, seed {seed}")
+        save([("off" if off else "on", one)], out, f"{name}, seed {seed}")
     if one.incomplete:
-        click.echo(f"could not say: {one.incomplete}", err=True)
-    _end([one.line()], [one] if any(one.rules.values()) else [])
+        click.echo(f"result is incomplete: {one.incomplete}", err=True)
+    _exit([one.line()], [one] if any(one.rules.values()) else [])
 
 
 def _play_fleet(
@@ -111,7 +120,7 @@
 
     known = ["fence", *BUGS] if virtual else ["fence", "wall-time"]
     if bug is not None and bug not in known:
-        click.echo(f"no such bug here; there are {', '.join(known)}", err=True)
+        click.echo(f"unknown --bug {bug!r}; expected one of {', '.join(known)}", err=True)
         sys.exit(2)
     try:
         if virtual:
@@ -130,7 +139,7 @@
                 keep=None if out is None else out / "logs",
             )
     except (OSError, gevent.Timeout) as error:
-        click.echo(f"could not run: {error}", err=True)
+        click.echo(f"run failed: {error}", err=True)
         sys.exit(2)
     rules = {key: int(one.figures.get(key, 0) > most) for key, most in ownership_experiment.AIMS.items()}
     line: dict[str, Any] = {
@@ -166,20 +175,26 @@
 @main.command()
 @NAME
 @click.option(
-    "--off", type=SUBSYSTEMS, default="repeats", show_default=True, help="What the one side is without."
+    "--off",
+    type=SUBSYSTEMS,
+    default="repeats",
+    show_default=True,
+    help="Subsystem that one side runs without.",
 )
 @click.option("--seeds", type=click.IntRange(1, 10_000), default=5, show_default=True)
 @click.option(
     "--jobs", type=click.IntRange(1, 64), default=max(1, (os.cpu_count() or 2) - 1), show_default=True
 )
-@click.option("--real", is_flag=True, help="With real processes, in real time: few jobs, or they disturb.")
-@changed
+@click.option(
+    "--real", is_flag=True, help="Run real processes, in real time; use few jobs, as they disturb each other."
+)
+@with_changes
 @OUT
 def compare(
     name: str, off: str, seeds: int, jobs: int, real: bool, quick: bool, out: Path | None, **changes: Any
 ) -> None:
-    """Plays with and without a subsystem, turn about, on the same seeds."""
-    from rig.results import keep, summary, table
+    """Runs an experiment with and without a subsystem, alternating, on the same seeds."""
+    from rig.results import save, summary, table
 
     work = [
         (side, off, name, seed, changes, quick, real)
@@ -194,26 +209,30 @@
             bar.advance(task)
     plays.sort(key=lambda one: (one[0], one[1].seed))
     click.echo(table(plays), err=True)
-    said = ", ".join(f"{key} {value:g}" for key, value in changes.items() if value is not None)
+    changes_text = ", ".join(f"{key} {value:g}" for key, value in changes.items() if value is not None)
     if out is not None:
         where = "real processes" if real else "virtual clock"
-        keep(plays, out, f"{name}{', ' + said if said else ''}: {off} on and off, {seeds} seeds, {where}")
-    broken = [p for side, p in plays if any(p.rules.values()) and side == "on"]
-    found = summary(plays)
-    line: dict[str, Any] = {"experiment": name, "seeds": seeds, "summary": found}
-    if real and not EXPERIMENTS[name].storm:  # in a storm the two sides see unlike traffic
-        cpu = [found[side]["cpu_ms_per_exchange"]["mean"] for side in ("on", "off")]
+        save(
+            plays,
+            out,
+            f"{name}{', ' + changes_text if changes_text else ''}: {off} on and off, {seeds} seeds, {where}",
+        )
+    violations = [play for side, play in plays if any(play.rules.values()) and side == "on"]
+    summaries = summary(plays)
+    line: dict[str, Any] = {"experiment": name, "seeds": seeds, "summary": summaries}
+    if real and not EXPERIMENTS[name].storm:  # in a storm the two sides receive different traffic
+        cpu = [summaries[side]["cpu_ms_per_exchange"]["mean"] for side in ("on", "off")]
         line["cpu_ratio"] = round(cpu[0] / cpu[1], 3)
-    _end([line], broken)
+    _exit([line], violations)
 
 
 @main.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def chart(folder: Path) -> None:
-    """Draws the chart again from the results kept in FOLDER."""
-    from rig.results import again
+    """Draws the chart again from the results in FOLDER."""
+    from rig.results import redraw_chart
 
-    click.echo(str(again(folder)))
+    click.echo(str(redraw_chart(folder)))
 
 
 if __name__ == "__main__":
--- a/rig/backend.py
+++ b/rig/backend.py
@@ -1,7 +1,8 @@
-"""One backend of the virtual fleet: the program's own core/ on the rig's clock, beside a stand-in machine.
+"""One backend of the virtual fleet: the program's own core/ on the rig's clock, with a simulated machine.
 
-Everything from core/ down is the code that serves; fronts and links are left out, so a try is handed in as
-the ticket a front would make of it, and the agent's commands are carried out at once."""
+The code of core/ and the packages it uses is the code that serves. The edge server and the clients of agent
+and membership list are left out: a try is submitted as the message that the edge server would make of it, and
+the agent's commands are carried out at once."""
 
 from __future__ import annotations
 
@@ -25,88 +26,100 @@
 )
 from myrtlecrank.policy import interface
 from myrtlecrank.retries.options import Bounds
-from rig.backend_stand_in import Stand
-from rig.callers import Try, said_of
-from rig.machine import Build, Time
+from rig.backend_stand_in import BackendStandIn
+from rig.callers import Try, outcome_of_verdict
+from rig.machine import MachineSpec, Scheduler
 from rig.rules import Rules
 
-ENDS = {"PASS": interface.Outcome.OK, "KILLED": interface.Outcome.CANCELLED}
+OUTCOME_OF_END = {"PASS": interface.Outcome.OK, "KILLED": interface.Outcome.CANCELLED}
 
 
-class Backend(Stand):
-    LOOK = 20.0  # how often a leaving process looks whether all is done
+class Backend(BackendStandIn):
+    """Runs a Core on the virtual clock."""
+
+    DRAIN_POLL_MS = 20.0  # interval at which a draining backend checks for its end
 
     def __init__(
         self,
         number: int,
-        clock: Time,
+        clock: Scheduler,
         facts: interface.StartFacts,
-        build: Build,
+        build: MachineSpec,
         rules: Rules,
         cold: bool,
         stop_ms: float,
-        tell_list: Callable[[int, bool], None],
+        report_membership: Callable[[int, bool], None],
         bounds: Bounds | None,
         with_core: Callable[[Core], None] = lambda _: None,
         on_read: Callable[[Try], None] = lambda _: None,
     ) -> None:
-        super().__init__(number, clock, build, rules, cold, stop_ms, tell_list, on_read)
-        self.letters: list[Event] = []
-        self.woken = False
-        self.wind_at = float("inf")
-        told = replace(facts, cold=cold)
+        super().__init__(number, clock, build, rules, cold, stop_ms, report_membership, on_read)
+        self.messages: list[Event] = []
+        self.batch_is_scheduled = False
+        self.timer_at = float("inf")
+        start_facts = replace(facts, cold=cold)
         self.core = Core(
-            told, stop_ms, self._command, lambda on: tell_list(number, on), now=clock.now, repeats=bounds
+            start_facts,
+            stop_ms,
+            self._command,
+            lambda on: report_membership(number, on),
+            now=clock.now,
+            repeats=bounds,
         )
         with_core(self.core)
-        self._post(Greeted(cold, clock.now - self.machine.born))
+        self._post(Greeted(cold, clock.now - self.machine.started_at))
 
-    # The module's actor on the clock
+    # The core's actor on the clock
 
-    def _post(self, letter: Event) -> None:
-        self.letters.append(letter)
-        if not self.woken:
-            self.woken = True
-            self.clock.at(self.clock.now, self._turn)
+    def _post(self, message: Event) -> None:
+        self.messages.append(message)
+        if not self.batch_is_scheduled:
+            self.batch_is_scheduled = True
+            self.clock.call_at(self.clock.now, self._process_batch)
 
-    def _turn(self) -> None:
-        self.woken = False
+    def _process_batch(self) -> None:
+        self.batch_is_scheduled = False
         if not self.alive:
             return
-        letters, self.letters = self.letters, []
-        self.core.process_batch(letters, self.clock.now)
+        messages, self.messages = self.messages, []
+        self.core.process_batch(messages, self.clock.now)
         timers = self.core.timers
-        if timers and timers[0][0] != self.wind_at:
-            at = self.wind_at = max(timers[0][0], self.clock.now)
-            self.clock.at(at, lambda: self._ring(at))
-        if self.notice is not None and not self.core.unanswered and self.core.board.shut and not self.unread:
-            self.clock.after(self.LOOK, self.stop)  # answers on their way are written first
-
-    def _ring(self, at: float) -> None:
-        if at == self.wind_at and self.alive:
-            self.wind_at = float("inf")
-            if not self.woken:
-                self._turn()
+        if timers and timers[0][0] != self.timer_at:
+            at = self.timer_at = max(timers[0][0], self.clock.now)
+            self.clock.call_at(at, lambda: self._timer_fired(at))
+        if (
+            self.drain_requested_at is not None
+            and not self.core.unanswered
+            and self.core.board.shut
+            and not self.unread
+        ):
+            self.clock.call_later(self.DRAIN_POLL_MS, self.stop)  # answers in transit are delivered first
+
+    def _timer_fired(self, at: float) -> None:
+        if at == self.timer_at and self.alive:
+            self.timer_at = float("inf")
+            if not self.batch_is_scheduled:
+                self._process_batch()
 
     # Callers and the agent
 
-    def accepts(self) -> bool:
-        return self.notice is None or not self.core.board.shut
+    def accepts_connections(self) -> bool:
+        return self.drain_requested_at is None or not self.core.board.shut
 
-    def hand_in(self, one: Try) -> None:
-        self.taken(one)
-        wish = one.wish
+    def submit(self, one: Try) -> None:
+        self.mark_read(one)
+        request = one.request
         ticket = Ticket(
-            ident=one.ident,
-            group=wish.group,
-            tenant=wish.tenant,
-            reached=one.reached,
-            wait=wish.due - wish.first if one.caller.habits.told_whole else one.wait,
-            kb=wish.kb,
-            rank=wish.rank,
+            ident=one.exchange_id,
+            group=request.group,
+            tenant=request.tenant,
+            reached=one.arrived_at,
+            wait=request.deadline - request.created_at if one.caller.behaviour.told_whole else one.timeout,
+            kb=request.memory_kb,
+            rank=request.rank,
             caller=one.caller.number,
             about="",
-            body=wish.body,
+            body=request.body,
             answer=self._answer,
             place=one,
         )
@@ -114,25 +127,28 @@
 
     def _answer(self, answer: Answer) -> None:
         one: Try = answer.ticket.place
-        said, value = said_of(answer.verdict), self.core.board.value
-        self.clock.after(self.HOP, lambda: self.answered(one, said, value, answer.wait, answer.last))
+        outcome, value = outcome_of_verdict(answer.verdict), self.core.board.value
+        self.clock.call_later(
+            self.NETWORK_DELAY_MS, lambda: self.deliver_answer(one, outcome, value, answer.wait, answer.last)
+        )
 
     def _command(self, command: Command) -> None:
         match command:
             case Launch(ident, _, _):
-                self.clock.after(self.HOP, lambda: self.launch(ident))
+                self.clock.call_later(self.NETWORK_DELAY_MS, lambda: self.start_run(ident))
             case Freeze(ident):
-                self.clock.after(self.HOP, lambda: self.freeze(ident))
+                self.clock.call_later(self.NETWORK_DELAY_MS, lambda: self.cancel_run(ident))
             case Sample(tag):
-                self.clock.after(
-                    self.HOP, lambda: self._post(Sampled(tag, interface.Gauges(**self.machine.gauges())))
+                self.clock.call_later(
+                    self.NETWORK_DELAY_MS,
+                    lambda: self._post(Sampled(tag, interface.Gauges(**self.machine.gauges()))),
                 )
 
-    def notify(self, ident: str, end: str, took: float) -> None:
-        self._post(RunEnded(ident, ENDS[end], took, b""))
+    def report_run_end(self, exchange_id: str, end: str, duration_ms: float) -> None:
+        self._post(RunEnded(exchange_id, OUTCOME_OF_END[end], duration_ms, b""))
 
-    def leave(self) -> None:
-        if self.alive and self.notice is None:
-            self.notice = self.clock.now
-            self._post(Leave(self.notice))
-            self.clock.after(self.stop_ms, self.stop)
+    def request_drain(self) -> None:
+        if self.alive and self.drain_requested_at is None:
+            self.drain_requested_at = self.clock.now
+            self._post(Leave(self.drain_requested_at))
+            self.clock.call_later(self.stop_ms, self.stop)
--- a/rig/charts.py
+++ b/rig/charts.py
@@ -1,4 +1,4 @@
-"""Charts of kept results."""
+"""Charts of saved results."""
 
 from __future__ import annotations
 
@@ -14,18 +14,21 @@
 COLOURS = {"on": "#1b6ca8", "off": "#c8553d"}
 
 
-def _service(series: dict[str, list[float]], over: int = 2) -> list[float]:
-    asked, earned = series["asked"], series["earned"]
+def _service(series: dict[str, list[float]], window_s: int = 2) -> list[float]:
+    asked = series["asked"]
+    earned = series["earned"]
     rows = []
     for at in range(len(asked)):
-        lo = max(0, at - over + 1)
-        total = sum(asked[lo : at + 1])
-        rows.append(sum(earned[lo : at + 1]) / total if total else float("nan"))
+        start = max(0, at - window_s + 1)
+        total = sum(asked[start : at + 1])
+        rows.append(sum(earned[start : at + 1]) / total if total else float("nan"))
     return rows
 
 
-def storm(plays: Sequence[tuple[str, dict[str, Any]]], scene: dict[str, Any], title: str, file: Path) -> None:
-    """`plays`: on or off, and a result as it was kept. Service by the second and tries for a first try."""
+def draw_storm(
+    plays: Sequence[tuple[str, dict[str, Any]]], scene: dict[str, Any], title: str, file: Path
+) -> None:
+    """Draws service and tries per request by the second. `plays`: side ("on" or "off") and saved result."""
     figure, (above, below) = plt.subplots(2, 1, figsize=(9, 6), sharex=True, constrained_layout=True)
     for side in ("off", "on"):
         rows = [result for which, result in plays if which == side]
@@ -41,10 +44,10 @@
                 lw=1,
                 label=label,
             )
-            tries, wishes = result["series"]["tries"], result["series"]["wishes"]
+            tries, requests = result["series"]["tries"], result["series"]["wishes"]
             below.plot(
                 seconds,
-                [tries[s] / max(1.0, wishes[s]) for s in seconds],
+                [tries[s] / max(1.0, requests[s]) for s in seconds],
                 color=COLOURS[side],
                 alpha=faint,
                 lw=1,
@@ -60,8 +63,8 @@
             )
     above.set_ylim(0, 1.02)
     above.set_ylabel("service (2 s)")
-    below.set_ylabel("tries for a first try")
-    below.set_xlabel("seconds; grey: backends away")
+    below.set_ylabel("tries per request")
+    below.set_xlabel("seconds; grey: backends down")
     above.set_title(title)
     legend = above.legend(loc="lower right")
     for handle in legend.legend_handles:
--- a/rig/experiments.py
+++ b/rig/experiments.py
@@ -1,4 +1,4 @@
-"""The experiments: what is played, and which figures come of it."""
+"""The experiments, how one is run, and the figures of a run."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from rig.callers import Habits
+from rig.callers import CallerBehaviour
 from rig.fleet import Fleet, Scene, figures
-from rig.ground_truth import Truth
+from rig.ground_truth import GroundTruth
 
 Progress = Callable[[float], None]
 CALM = Scene(killed=0.0, deaf=0.0, after_ms=23_000.0)
@@ -19,10 +19,12 @@
 
 @dataclass(frozen=True)
 class Experiment:
-    what: str
+    """An experiment as `rig list` names it."""
+
+    description: str
     scene: Scene
-    storm: bool = True  # something is killed: there is a recovery
-    real: bool = False  # has a meaning on sockets only
+    storm: bool = True  # backends are killed, so there is a recovery
+    real: bool = False  # always with real processes, as it tests sockets
 
 
 EXPERIMENTS = {
@@ -31,23 +33,25 @@
         "the same while a rolling deploy replaces the others, a fifth at a time",
         Scene(killed=0.2, deploy=True),
     ),
-    "storm-deaf": Experiment("the same, six tenths of the callers deaf", Scene(killed=0.2, deaf=0.6)),
+    "storm-deaf": Experiment(
+        "the same, and 60% of the callers ignore backpressure", Scene(killed=0.2, deaf=0.6)
+    ),
     "storm-patient": Experiment(
-        "as storm-deaf with SLO time 1.8 s and async timeout 4.5 s: repeats live longer",
+        "as storm-deaf with SLO time 1.8 s and async timeout 4.5 s: retries go on for longer",
         Scene(killed=0.2, deaf=0.6, slo=1800.0, timeout=4500.0),
     ),
     "storm-short": Experiment(
-        "as storm-deaf, the deaf callers wait a second for each try and so hide their repeats",
-        Scene(killed=0.2, deaf=0.6, deaf_habits=Habits(deaf=True, patience=1000.0)),
+        "as storm-deaf, but noncompliant callers time out after 1 s per try, which hides their retries",
+        Scene(killed=0.2, deaf=0.6, deaf_habits=CallerBehaviour(deaf=True, patience=1000.0)),
     ),
     "reconnect": Experiment(
-        "as storm, and 400 connections come at one instant to each backend that is back (real processes)",
+        "as storm, and 400 connections open at once to each restarted backend (real processes)",
         Scene(killed=0.2, crowd=400),
         real=True,
     ),
-    "calm": Experiment("nothing happens; callers heed", CALM, storm=False),
+    "calm": Experiment("no fault; all callers respect backpressure", CALM, storm=False),
     "coach-party": Experiment(
-        "bursts of 1.6 times the load, half for five popular subjects; callers heed, nothing is killed",
+        "bursts of 1.6 times the load, half for five popular subjects; all callers respect backpressure",
         replace(CALM, burst=1.6, party=0.5, load=0.6),
         storm=False,
     ),
@@ -56,7 +60,7 @@
 
 @dataclass
 class Play:
-    """What came of one play."""
+    """Result of one run. Field names are written to result.json."""
 
     experiment: str
     seed: int
@@ -70,6 +74,7 @@
     incomplete: str | None = None
 
     def line(self) -> dict[str, Any]:
+        """Returns the last line of `rig play`."""
         return {
             "experiment": self.experiment,
             "seed": self.seed,
@@ -80,6 +85,7 @@
 
 
 def scene_of(name: str, off: str | None = None, quick: bool = False, **changes: Any) -> Scene:
+    """Returns the scene of an experiment, without subsystem `off` and with the changes that are not None."""
     scene = EXPERIMENTS[name].scene
     if quick:
         scene = replace(
@@ -95,40 +101,44 @@
     return replace(scene, **without)
 
 
-def could(scene: Scene) -> float:
-    """Service that an all-knowing fleet gives with the backends that are left: each wish is read once, the
-    dearest are served."""
-    left = 1.0 - round(scene.killed * scene.backends) / scene.backends
+def ideal_service(scene: Scene) -> float:
+    """Returns the service of an ideal fleet with the remaining backends.
+
+    It reads each request once and serves those with the most benefit for their work.
+    """
+    remaining = 1.0 - round(scene.killed * scene.backends) / scene.backends
     work = sum(g.share * g.work for g in scene.groups)
     reading = scene.build.reading / work
-    room = max(0.0, left / scene.load - reading)  # of the work that is asked for
+    capacity = max(0.0, remaining / scene.load - reading)  # as a share of the requested work
     asked = sum(g.share * g.benefit for g in scene.groups)
     earned = 0.0
     for g in sorted(scene.groups, key=lambda g: -g.benefit / g.work):
-        part = min(1.0, room / (g.share * g.work / work))
-        earned += part * g.share * g.benefit
-        room -= part * g.share * g.work / work
+        served_share = min(1.0, capacity / (g.share * g.work / work))
+        earned += served_share * g.share * g.benefit
+        capacity -= served_share * g.share * g.work / work
     return earned / asked
 
 
 def play(name: str, seed: int, scene: Scene, progress: Progress = lambda _: None, real: bool = False) -> Play:
-    """On the virtual clock, or with real processes on loopback."""
+    """Runs an experiment on the virtual clock, or with real processes on loopback."""
     began = time.perf_counter()
     fleet: Fleet
     real = real or EXPERIMENTS[name].real
     if real:
-        from rig.processes.fleet import RealFleet  # gevent and processes: only where they are wanted
+        from rig.processes.fleet import (
+            RealFleet,  # imports sockets and process control, which virtual runs do without
+        )
 
         fleet = RealFleet(scene, seed)
     else:
         fleet = Fleet(scene, seed)
-    truth = Truth(fleet)
-    fleet.seen.append(lambda now: progress(now / scene.end))
+    ground_truth = GroundTruth(fleet)
+    fleet.on_sample.append(lambda now: progress(now / scene.end))
     fleet.play()
     found = figures(fleet)
     rules, first = found.pop("rules"), found.pop("first_break")
     if EXPERIMENTS[name].storm:
-        found["service_in_storm"] = round(found["away"] / could(scene), 3)
+        found["service_in_storm"] = round(found["away"] / ideal_service(scene), 3)
     else:
         for key in ("away", "first_10s", "after_20s", "recovery_s", "deaf"):
             found.pop(key)
@@ -139,12 +149,12 @@
         incomplete = fleet.incomplete()
         found["storm_lines"] = float(fleet.log().count("a storm of repeats begins"))
     elif scene.repeats is not None:
-        found |= truth.figures()
+        found |= ground_truth.figures()
     counts = fleet.counts()
     times = HdrHistogram(1, 60_000, 3)
-    for wish in fleet.wishes:
-        if wish.served_at is not None:
-            times.record_value(max(1, round(wish.served_at - wish.first)))
+    for request in fleet.requests:
+        if request.served_at is not None:
+            times.record_value(max(1, round(request.served_at - request.created_at)))
     return Play(
         name,
         seed,
@@ -155,7 +165,7 @@
         {
             "asked": counts.asked,
             "earned": counts.earned,
-            "wishes": [float(n) for n in counts.wishes],
+            "wishes": [float(n) for n in counts.requests],
             "tries": [float(n) for n in counts.tries],
         },
         {f"p{p:g}": float(times.get_value_at_percentile(p)) for p in (50.0, 90.0, 99.0)},
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -1,4 +1,4 @@
-"""A virtual fleet: backends, the list as callers see it, callers, the load, faults, and what is counted."""
+"""A virtual fleet: backends, the membership list as callers see it, callers, load, faults and the figures."""
 
 from __future__ import annotations
 
@@ -13,17 +13,34 @@
 from myrtlecrank.policy import interface
 from myrtlecrank.retries.options import Bounds
 from rig.backend import Backend
-from rig.backend_stand_in import Stand
-from rig.callers import Caller, Habits, Try, Wish
+from rig.backend_stand_in import BackendStandIn
+from rig.callers import Caller, CallerBehaviour, Request, Try
 from rig.clock import Clock
-from rig.machine import Build
+from rig.machine import MachineSpec
 from rig.rules import Rules
 
-BUILD, HEEDING, DEAF, BOUNDS, ACCEPTING = Build(), Habits(), Habits(deaf=True), Bounds(), Accepting()
+BUILD = MachineSpec()
+COMPLIANT = CallerBehaviour()
+NONCOMPLIANT = CallerBehaviour(deaf=True)
+RETRY_OPTIONS = Bounds()
+ACCEPTING = Accepting()
+
+SAMPLING_INTERVAL_MS = 100.0
+LIST_CACHE_MS = 50.0  # a caller's view of the list is computed at most this often
+LOAD_START_MS = 1000.0
+BURST_EVERY_MS = 10_000.0
+BURST_MS = 4000.0
+DEPLOY_LEAD_MS = 2000.0  # a rolling deploy begins this long before the kill
+REPORT_INTERVAL_MS = 800.0  # a killed backend sent its last report at most this long ago
+POPULAR_SUBJECTS = 5
+RECOVERY_WINDOW_MS = 3000.0
+RECOVERED_SHARE = 0.9  # of the service before the fault
 
 
 @dataclass(frozen=True)
 class Group:
+    """An endpoint group. `work` is the mean in ms, `cv` its coefficient of variation."""
+
     name: str
     share: float
     benefit: float
@@ -34,36 +51,36 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """One experiment's parameters. Times in ms."""
+    """Parameters of an experiment. Times in ms. Field names are written to result.json."""
 
     backends: int = 8
     callers: int = 24
-    load: float = 0.72  # work asked for over the cores, without readings
-    deaf: float = 0.3  # part of the callers that heed nothing
+    load: float = 0.72  # requested work over the capacity of the cores, without reads
+    deaf: float = 0.3  # share of the callers that ignore backpressure
     slo: float = 1000.0
     timeout: float = 2500.0
     groups: tuple[Group, ...] = (Group("stop", 0.65, 1.0, 0.2), Group("tour", 0.35, 3.0, 0.0))
     tenants: int = 6
-    build: Build = BUILD
+    build: MachineSpec = BUILD
     calm_ms: float = 15_000.0  # before the first fault
     away_ms: float = 7000.0
-    after_ms: float = 35_000.0  # from the servers' return on
-    killed: float = 0.25  # part of the fleet
-    deploy: bool = False  # all others are replaced, some at a time, from the kill on
+    after_ms: float = 35_000.0  # from the return of the killed backends
+    killed: float = 0.25  # share of the backends
+    deploy: bool = False  # a rolling deploy replaces all others around the time of the kill
     deploy_part: float = 0.18
     deploy_ms: float = 25_000.0
-    burst: float = 1.0  # load times this in bursts of 4 s, every 10 s
-    party: float = 0.0  # part of the wishes that copy a popular subject
+    burst: float = 1.0  # load factor in bursts of BURST_MS every BURST_EVERY_MS
+    party: float = 0.0  # share of the requests for a popular subject
     grace: float = 1800.0
     stop_ms: float = 3200.0
-    lapse_ms: float = 3000.0  # an entry leaves the list so long after the last report
-    seen_late: tuple[float, float] = (1000.0, 2000.0)  # list changes reach a caller by then
-    habits: Habits = HEEDING
-    deaf_habits: Habits = DEAF
+    lapse_ms: float = 3000.0  # an entry expires from the list this long after its last report
+    seen_late: tuple[float, float] = (1000.0, 2000.0)  # range of delays until a caller sees a list change
+    habits: CallerBehaviour = COMPLIANT
+    deaf_habits: CallerBehaviour = NONCOMPLIANT
     replace_in_ms: float = 500.0
-    repeats: Bounds | None = BOUNDS  # None: the program without its estimate
-    accepting: Accepting | None = ACCEPTING  # None: connections are accepted as they come
-    crowd: int = 0  # connections that come at one instant when a backend is back; real processes only
+    repeats: Bounds | None = RETRY_OPTIONS  # None: the program without its retry estimator
+    accepting: Accepting | None = ACCEPTING  # None: connections are accepted without a rate limit
+    crowd: int = 0  # connections opened at once to a restarted backend; real processes only
 
     @property
     def kill_at(self) -> float:
@@ -78,10 +95,12 @@
         return self.return_at + self.after_ms
 
     def per_second(self) -> float:
-        work = sum(g.share * g.work for g in self.groups)
+        """Returns the mean rate of requests."""
+        work = sum(group.share * group.work for group in self.groups)
         return self.load * self.backends * self.build.cores * self.build.speed * 1000.0 / work
 
     def facts(self, seed: int) -> interface.StartFacts:
+        """Returns the settings with which a backend of this fleet starts."""
         groups = [
             interface.EndpointGroup(
                 g.name, interface.Kind.REPEATABLE, self.slo, self.timeout, g.benefit, g.late_benefit, 0.0
@@ -120,17 +139,19 @@
 
 @dataclass
 class Counts:
-    """What came of the wishes, by the second in which each was first asked."""
+    """Requested and earned benefit, requests and tries, by the second in which each request began."""
 
     asked: list[float] = field(default_factory=list)
     earned: list[float] = field(default_factory=list)
     heeding: list[list[float]] = field(default_factory=list)  # asked, earned
     deaf: list[list[float]] = field(default_factory=list)
-    wishes: list[int] = field(default_factory=list)
+    requests: list[int] = field(default_factory=list)
     tries: list[int] = field(default_factory=list)
 
 
 class Fleet:
+    """Backends and callers on one clock, and the faults of a scene."""
+
     def __init__(
         self,
         scene: Scene,
@@ -140,20 +161,20 @@
     ) -> None:
         self.scene, self.seed, self.with_core = scene, seed, with_core
         self.clock = clock or Clock()
-        self.chance = random.Random(f"fleet {seed}")
+        self.random = random.Random(f"fleet {seed}")
         self.rules = Rules(scene.grace)
         self.tries: list[Try] = []
-        self.wishes: list[Wish] = []
-        self.backends: list[Stand] = []
-        self.listed_at: list[list[tuple[float, bool]]] = [[] for _ in range(scene.backends)]
-        self.starts = 0
-        self.seen: list[Callable[[float], None]] = []  # looks every 100 ms
+        self.requests: list[Request] = []
+        self.backends: list[BackendStandIn] = []
+        self.listing_history: list[list[tuple[float, bool]]] = [[] for _ in range(scene.backends)]
+        self.start_count = 0
+        self.on_sample: list[Callable[[float], None]] = []  # called every SAMPLING_INTERVAL_MS
         self.on_read: list[Callable[[Try], None]] = []
         for number in range(scene.backends):
-            self.listed_at[number].append((-1e9, True))
+            self.listing_history[number].append((-1e9, True))
             self.backends.append(self._start(number, cold=False))
         delays = random.Random(f"delays {seed}")
-        self.delay = [delays.uniform(*scene.seen_late) for _ in range(scene.callers)]
+        self.list_delays_ms = [delays.uniform(*scene.seen_late) for _ in range(scene.callers)]
         deaf = round(scene.deaf * scene.callers)
         self.callers = [
             Caller(
@@ -167,52 +188,57 @@
             )
             for i in range(scene.callers)
         ]
-        # The list as each caller sees it is made anew only when it changed.
-        self.lists: dict[int, tuple[float, list[int]]] = {}
-        self.popular = [
+        # By caller: the list as it sees it, and when that was computed.
+        self.list_cache: dict[int, tuple[float, list[int]]] = {}
+        self.popular_subjects = [
             (
-                self.chance.random(),
-                self.chance.uniform(10.0, 50.0),
+                self.random.random(),
+                self.random.uniform(10.0, 50.0),
                 f"popular {i}".encode(),
-                self.chance.randrange(scene.tenants),
+                self.random.randrange(scene.tenants),
             )
-            for i in range(5)
+            for i in range(POPULAR_SUBJECTS)
         ]
 
-    # The list
+    # The membership list
 
-    def tell_list(self, number: int, on: bool) -> None:
-        self.listed_at[number].append((self.clock.now, on))
+    def report_membership(self, number: int, on: bool) -> None:
+        """Adds a backend to the list or removes it."""
+        self.listing_history[number].append((self.clock.now, on))
 
-    def listed(self, caller: Caller) -> list[int]:
-        then = self.clock.now - self.delay[caller.number]
-        slot, known = self.lists.get(caller.number, (-1.0, []))
-        if self.clock.now - slot < 50.0:
+    def listed_backends(self, caller: Caller) -> list[int]:
+        """Returns the list as a caller sees it, with that caller's delay."""
+        then = self.clock.now - self.list_delays_ms[caller.number]
+        cached_at, known = self.list_cache.get(caller.number, (-1.0, []))
+        if self.clock.now - cached_at < LIST_CACHE_MS:
             return known
         known = [
             n
-            for n, told in enumerate(self.listed_at)
+            for n, told in enumerate(self.listing_history)
             if next((on for at, on in reversed(told) if at <= then), False)
         ]
-        self.lists[caller.number] = (self.clock.now, known)
+        self.list_cache[caller.number] = (self.clock.now, known)
         return known
 
     def send(self, one: Try) -> None:
-        self.clock.after(Stand.HOP, lambda: self.backends[one.backend].asked(one))
+        """Carries a try to its backend."""
+        self.clock.call_later(
+            BackendStandIn.NETWORK_DELAY_MS, lambda: self.backends[one.backend].receive_try(one)
+        )
 
     # Backends
 
-    def _start(self, number: int, cold: bool) -> Stand:
-        self.starts += 1
+    def _start(self, number: int, cold: bool) -> BackendStandIn:
+        self.start_count += 1
         return Backend(
             number,
             self.clock,
-            self.scene.facts(self.seed * 1000 + self.starts),
+            self.scene.facts(self.seed * 1000 + self.start_count),
             self.scene.build,
             self.rules,
             cold,
             self.scene.stop_ms,
-            self.tell_list,
+            self.report_membership,
             self.scene.repeats,
             self.with_core,
             self._read,
@@ -223,93 +249,101 @@
             hook(one)
 
     def kill(self, number: int) -> None:
+        """Kills a backend; its entry on the list expires later."""
         self.backends[number].kill()
-        at = self.clock.now + self.scene.lapse_ms - self.chance.uniform(0.0, 800.0)
+        at = self.clock.now + self.scene.lapse_ms - self.random.uniform(0.0, REPORT_INTERVAL_MS)
 
         def lapse() -> None:
             if not self.backends[number].alive:
-                self.tell_list(number, False)
+                self.report_membership(number, False)
 
-        self.clock.at(at, lapse)
+        self.clock.call_at(at, lapse)
 
     def revive(self, number: int) -> None:
+        """Starts a cold backend in place of one that has ended."""
         if not self.backends[number].alive:
             self.backends[number] = self._start(number, cold=True)
-            self.tell_list(number, True)
+            self.report_membership(number, True)
 
     def replace(self, number: int) -> None:
-        """As a rolling deploy does: notice, stop, a cold successor."""
+        """Replaces a backend as a rolling deploy does: drain request, stop, cold successor."""
         backend = self.backends[number]
-        if not backend.alive or backend.notice is not None:
+        if not backend.alive or backend.drain_requested_at is not None:
             return
-        backend.leave()
-        self.clock.after(self.scene.stop_ms + self.scene.replace_in_ms, lambda: self.revive(number))
+        backend.request_drain()
+        self.clock.call_later(self.scene.stop_ms + self.scene.replace_in_ms, lambda: self.revive(number))
 
     # The load
 
-    def _load(self) -> None:
+    def _start_load(self) -> None:
         scene = self.scene
-        pace = scene.per_second() / 1000.0
+        arrivals_per_ms = scene.per_second() / 1000.0
         weights = [g.share for g in scene.groups]
         arrivals = random.Random(f"load {self.seed}")
         sigma = [sqrt(log(1.0 + g.cv**2)) for g in scene.groups]
 
-        def one() -> None:
+        def arrive() -> None:
             now = self.clock.now
             group = arrivals.choices(range(len(scene.groups)), weights)[0]
             s = sigma[group]
             work = scene.groups[group].work * arrivals.lognormvariate(-s * s / 2.0, s)
             caller = self.callers[arrivals.randrange(scene.callers)]
-            number = len(self.wishes)
-            rank, kb, body = arrivals.random(), arrivals.uniform(8.0, 59.0), b"subject %d" % number
+            number = len(self.requests)
+            rank = arrivals.random()
+            memory_kb = arrivals.uniform(8.0, 59.0)
+            body = b"subject %d" % number
             tenant = arrivals.randrange(scene.tenants) if scene.tenants else 0
             if arrivals.random() < scene.party:
-                rank, kb, body, tenant = self.popular[arrivals.randrange(len(self.popular))]
-            wish = Wish(
+                rank, memory_kb, body, tenant = self.popular_subjects[
+                    arrivals.randrange(len(self.popular_subjects))
+                ]
+            request = Request(
                 number,
                 now,
                 group,
                 tenant,
                 rank,
-                kb,
+                memory_kb,
                 body,
                 work,
-                caller.habits.deaf,
+                caller.behaviour.deaf,
                 scene.slo,
                 now + scene.timeout,
                 scene.groups[group].benefit,
             )
-            self.wishes.append(wish)
-            caller.ask(wish)
-            burst = scene.burst if now % 10_000.0 < 4000.0 and now > scene.calm_ms else 1.0
-            due[0] += arrivals.expovariate(pace * burst)
-            self.clock.at(due[0], one)
-
-        due = [self.clock.now + arrivals.expovariate(pace)]  # not from now on: lateness would thin the load
-        self.clock.at(due[0], one)
-
-    def _look(self) -> None:
-        self.rules.look(self.clock.now)
+            self.requests.append(request)
+            caller.submit(request)
+            burst = scene.burst if now % BURST_EVERY_MS < BURST_MS and now > scene.calm_ms else 1.0
+            due[0] += arrivals.expovariate(arrivals_per_ms * burst)
+            self.clock.call_at(due[0], arrive)
+
+        # Each arrival counts from the due time of the one before: a late callback must not lower the load.
+        due = [self.clock.now + arrivals.expovariate(arrivals_per_ms)]
+        self.clock.call_at(due[0], arrive)
+
+    def _sample(self) -> None:
+        self.rules.check_overdue(self.clock.now)
         for backend in self.backends:
-            if backend.alive and backend.machine.fell:
-                self.rules.fell(backend.number, self.clock.now)
+            if backend.alive and backend.machine.has_collapsed:
+                self.rules.record_collapse(backend.number, self.clock.now)
                 self.kill(backend.number)
-                self.clock.after(self.scene.away_ms, lambda n=backend.number: self.revive(n))  # type: ignore[misc]
-        for look in self.seen:
-            look(self.clock.now)
-        self.clock.after(100.0, self._look)
+                self.clock.call_later(self.scene.away_ms, lambda n=backend.number: self.revive(n))  # type: ignore[misc]
+        for hook in self.on_sample:
+            hook(self.clock.now)
+        self.clock.call_later(SAMPLING_INTERVAL_MS, self._sample)
 
     def play(self) -> None:
+        """Runs the scene to its end."""
         scene = self.scene
-        self.clock.after(1000.0, self._load)
-        self.clock.after(100.0, self._look)
-        killed = self.chance.sample(range(scene.backends), round(scene.killed * scene.backends))
+        self.clock.call_later(LOAD_START_MS, self._start_load)
+        self.clock.call_later(SAMPLING_INTERVAL_MS, self._sample)
+        killed = self.random.sample(range(scene.backends), round(scene.killed * scene.backends))
         for number in killed:
-            self.clock.at(scene.kill_at, lambda n=number: self.kill(n))  # type: ignore[misc]
-            self.clock.at(scene.return_at, lambda n=number: self.revive(n))  # type: ignore[misc]
+            self.clock.call_at(scene.kill_at, lambda n=number: self.kill(n))  # type: ignore[misc]
+            self.clock.call_at(scene.return_at, lambda n=number: self.revive(n))  # type: ignore[misc]
         if scene.deploy:
             self._deploy([n for n in range(scene.backends) if n not in killed])
-        self.clock.play(scene.end)
+        self.clock.run_until(scene.end)
 
     def _deploy(self, others: list[int]) -> None:
         scene = self.scene
@@ -318,13 +352,15 @@
         step = scene.deploy_ms / max(1, len(groups))
         for i, group in enumerate(groups):
             for number in group:
-                self.clock.at(scene.kill_at - 2000.0 + i * step, lambda n=number: self.replace(n))  # type: ignore[misc]
+                start = scene.kill_at - DEPLOY_LEAD_MS + i * step
+                self.clock.call_at(start, lambda n=number: self.replace(n))  # type: ignore[misc]
 
-    # What came of it
+    # Figures
 
     def counts(self) -> Counts:
+        """Returns the counts of all requests and tries so far."""
         seconds = int(self.scene.end // 1000) + 1
-        c = Counts(
+        counts = Counts(
             [0.0] * seconds,
             [0.0] * seconds,
             [[0.0, 0.0] for _ in range(seconds)],
@@ -332,42 +368,42 @@
             [0] * seconds,
             [0] * seconds,
         )
-        for wish in self.wishes:
-            s = int(wish.first // 1000)
-            got = (
-                wish.benefit
-                if wish.served_at is not None and wish.served_at - wish.first <= wish.slo
+        for request in self.requests:
+            s = int(request.created_at // 1000)
+            earned = (
+                request.benefit
+                if request.served_at is not None and request.served_at - request.created_at <= request.slo
                 else 0.0
             )
-            c.asked[s] += wish.benefit
-            c.earned[s] += got
-            c.wishes[s] += 1
-            part = c.deaf if wish.deaf else c.heeding
-            part[s][0] += wish.benefit
-            part[s][1] += got
+            counts.asked[s] += request.benefit
+            counts.earned[s] += earned
+            counts.requests[s] += 1
+            part = counts.deaf if request.ignores_backpressure else counts.heeding
+            part[s][0] += request.benefit
+            part[s][1] += earned
         for one in self.tries:
-            c.tries[int(one.sent // 1000)] += 1
-        return c
+            counts.tries[int(one.sent_at // 1000)] += 1
+        return counts
 
 
 def figures(fleet: Fleet) -> dict[str, Any]:
-    """Service before, through and after, recovery, tries for a first try."""
-    scene, c = fleet.scene, fleet.counts()
+    """Returns the figures of a run: service before, during and after the fault, recovery and retries."""
+    scene, counts = fleet.scene, fleet.counts()
 
     def service(a: float, b: float, rows: list[list[float]] | None = None) -> float:
         lo, hi = int(a // 1000), int(b // 1000)
         if rows is not None:
             asked, earned = sum(r[0] for r in rows[lo:hi]), sum(r[1] for r in rows[lo:hi])
         else:
-            asked, earned = sum(c.asked[lo:hi]), sum(c.earned[lo:hi])
+            asked, earned = sum(counts.asked[lo:hi]), sum(counts.earned[lo:hi])
         return earned / asked if asked else 0.0
 
     kill, back, end = scene.kill_at, scene.return_at, scene.end - scene.timeout - 1000.0
     before = service(4000.0, kill)
     recovery = None
     at = back
-    while at + 3000.0 <= end:
-        if service(at, at + 3000.0) >= 0.9 * before:
+    while at + RECOVERY_WINDOW_MS <= end:
+        if service(at, at + RECOVERY_WINDOW_MS) >= RECOVERED_SHARE * before:
             recovery = (at - back) / 1000.0
             break
         at += 1000.0
@@ -378,9 +414,9 @@
         "first_10s": round(service(back, back + 10_000.0), 3),
         "after_20s": round(service(back + min(20_000.0, 0.5 * scene.after_ms), end), 3),
         "recovery_s": recovery,
-        "tries_per_first": round(sum(c.tries[lo:hi]) / max(1, sum(c.wishes[lo:hi])), 2),
-        "heeding": round(service(kill, end, c.heeding), 3),
-        "deaf": round(service(kill, end, c.deaf), 3),
-        "rules": dict(fleet.rules.breaks),
-        "first_break": fleet.rules.first,
+        "tries_per_first": round(sum(counts.tries[lo:hi]) / max(1, sum(counts.requests[lo:hi])), 2),
+        "heeding": round(service(kill, end, counts.heeding), 3),
+        "deaf": round(service(kill, end, counts.deaf), 3),
+        "rules": dict(fleet.rules.violations),
+        "first_break": fleet.rules.first_violation,
     }
--- a/rig/ground_truth.py
+++ b/rig/ground_truth.py
@@ -1,5 +1,4 @@
-"""What the rig knows and the program can only estimate: the true share of repeats at each backend, and how
-the estimate stands beside it."""
+"""True share of retries at each backend, and the error of the estimate that the program makes of it."""
 
 from __future__ import annotations
 
@@ -10,107 +9,120 @@
 from rig.callers import Try
 from rig.fleet import Fleet
 
-LOOK_MS = 100.0
-STORM, NONE = 0.30, 0.15  # true shares from which a storm is one, and below which it is none
+SAMPLING_INTERVAL_MS = 100.0
+STORM_SHARE = 0.30  # true share at which a retry storm begins
+NO_STORM_SHARE = 0.15  # true share below which there is none
+LEAST_ARRIVALS = 8.0  # decayed count below which a share means little
+SETTLING_MS = 5000.0  # time after the kill until noncompliant callers should be known
 
 
 @dataclass
-class Share:
-    """Faded counts of one backend, as the estimate takes them."""
+class RetryShare:
+    """Decaying counts of one backend, with the half-life of the program's estimate."""
 
     arrivals: float = 0.0
-    again: float = 0.0
-    since: float | None = None  # when the true share rose over STORM
-    seen: bool = False  # the estimate told a storm since then
+    retries: float = 0.0
+    storm_since: float | None = None  # when the true share reached STORM_SHARE
+    is_detected: bool = False  # the program has reported a storm since then
 
     def fade(self) -> None:
-        keep = 0.5 ** (LOOK_MS / SHARE_HALF_LIFE_MS)
+        """Applies the decay of one sampling interval."""
+        keep = 0.5 ** (SAMPLING_INTERVAL_MS / SHARE_HALF_LIFE_MS)
         self.arrivals *= keep
-        self.again *= keep
+        self.retries *= keep
 
 
 @dataclass
-class Truth:
+class GroundTruth:
+    """Compares each backend's estimate with the tries that the fleet has sent. Fleet calls its hooks."""
+
     fleet: Fleet
-    shares: dict[int, Share] = field(default_factory=dict)
-    off_by: float = 0.0
+    shares: dict[int, RetryShare] = field(default_factory=dict)
+    weighted_error: float = 0.0
     weight: float = 0.0
-    delays: list[float] = field(default_factory=list)
-    false_ms: float = 0.0
-    looks: int = 0
-    deaf_right: float = 0.0
-    deaf_all: float = 0.0
-    wrongly_deaf: int = 0
+    detection_delays_ms: list[float] = field(default_factory=list)
+    false_alarm_ms: float = 0.0
+    samples: int = 0
+    noncompliant_found: float = 0.0
+    noncompliant_total: float = 0.0
+    wrongly_noncompliant: int = 0
 
     def __post_init__(self) -> None:
-        self.fleet.seen.append(self.look)
-        self.fleet.on_read.append(self.read)
+        self.fleet.on_sample.append(self.sample)
+        self.fleet.on_read.append(self.count_arrival)
 
     def _backends(self) -> list[Backend]:
         return [one for one in self.fleet.backends if isinstance(one, Backend)]
 
-    def read(self, one: Try) -> None:
-        share = self.shares.setdefault(one.backend, Share())
+    def count_arrival(self, one: Try) -> None:
+        """Counts a try that a backend has received."""
+        share = self.shares.setdefault(one.backend, RetryShare())
         share.arrivals += 1.0
-        share.again += one.number > 1
+        share.retries += one.attempt > 1
 
-    def look(self, now: float) -> None:
+    def sample(self, now: float) -> None:
+        """Compares the estimates with the true shares."""
         for backend in self._backends():
-            share = self.shares.setdefault(backend.number, Share())
+            share = self.shares.setdefault(backend.number, RetryShare())
             repeats = backend.core.repeats
             if not backend.alive or repeats is None:
-                share.since = None
+                share.storm_since = None
                 continue
-            self.looks += 1
-            if share.arrivals >= 8.0:
-                true = share.again / share.arrivals
+            self.samples += 1
+            if share.arrivals >= LEAST_ARRIVALS:
+                true_share = share.retries / share.arrivals
                 if (
-                    repeats.recent_arrivals >= 8.0
+                    repeats.recent_arrivals >= LEAST_ARRIVALS
                     and repeats.total_arrivals >= repeats.options.least_arrivals
                 ):
                     weight = share.arrivals
-                    self.off_by += weight * abs(repeats.recent_retries / repeats.recent_arrivals - true)
+                    self.weighted_error += weight * abs(
+                        repeats.recent_retries / repeats.recent_arrivals - true_share
+                    )
                     self.weight += weight
-                self._onset(share, true, repeats.storm, now)
-                self.false_ms += LOOK_MS * (repeats.storm and true < NONE)
+                self._check_onset(share, true_share, repeats.storm, now)
+                self.false_alarm_ms += SAMPLING_INTERVAL_MS * (repeats.storm and true_share < NO_STORM_SHARE)
             share.fade()
-        if now >= self.fleet.scene.kill_at + 5000.0:
-            self._deaf(now)
-
-    def _onset(self, share: Share, true: float, told: bool, now: float) -> None:
-        if true < NONE:
-            share.since, share.seen = None, False
-        elif true >= STORM and share.since is None and not told:
-            share.since = now
-        if told and share.since is not None and not share.seen:
-            share.seen = True
-            self.delays.append(now - share.since)
-
-    def _deaf(self, now: float) -> None:
-        """How many of the callers that heed nothing are known as such, and whether others are."""
-        truly = {c.number for c in self.fleet.callers if c.habits.deaf}
+        if now >= self.fleet.scene.kill_at + SETTLING_MS:
+            self._check_noncompliant(now)
+
+    def _check_onset(self, share: RetryShare, true_share: float, is_reported: bool, now: float) -> None:
+        if true_share < NO_STORM_SHARE:
+            share.storm_since, share.is_detected = None, False
+        elif true_share >= STORM_SHARE and share.storm_since is None and not is_reported:
+            share.storm_since = now
+        if is_reported and share.storm_since is not None and not share.is_detected:
+            share.is_detected = True
+            self.detection_delays_ms.append(now - share.storm_since)
+
+    def _check_noncompliant(self, now: float) -> None:
+        """Counts the callers that ignore backpressure and are known to, and those wrongly taken for such."""
+        noncompliant = {c.number for c in self.fleet.callers if c.behaviour.deaf}
         for backend in self._backends():
             repeats = backend.core.repeats
             if not backend.alive or repeats is None or not repeats.storm:
                 continue
             known = {
-                n
-                for n, told in repeats.compliance.callers.items()
-                if repeats.compliance.is_noncompliant(told)
+                number
+                for number, record in repeats.compliance.callers.items()
+                if repeats.compliance.is_noncompliant(record)
             }
-            self.deaf_right += len(known & truly)
-            self.deaf_all += len(truly)
-            self.wrongly_deaf += len(known - truly)
+            self.noncompliant_found += len(known & noncompliant)
+            self.noncompliant_total += len(noncompliant)
+            self.wrongly_noncompliant += len(known - noncompliant)
 
     def figures(self) -> dict[str, float]:
-        found: dict[str, float] = {
-            "false_alarm_s": round(self.false_ms / 1000.0 / len(self.fleet.backends), 2)
+        """Returns the figures of the estimate for result.json."""
+        figures: dict[str, float] = {
+            "false_alarm_s": round(self.false_alarm_ms / 1000.0 / len(self.fleet.backends), 2)
         }
         if self.weight:
-            found["estimate_error"] = round(self.off_by / self.weight, 3)
-        if self.delays:
-            found["storm_seen_s"] = round(sum(self.delays) / len(self.delays) / 1000.0, 2)
-        if self.deaf_all:
-            found["deaf_known"] = round(self.deaf_right / self.deaf_all, 2)
-            found["wrongly_deaf"] = float(self.wrongly_deaf)
-        return found
+            figures["estimate_error"] = round(self.weighted_error / self.weight, 3)
+        if self.detection_delays_ms:
+            figures["storm_seen_s"] = round(
+                sum(self.detection_delays_ms) / len(self.detection_delays_ms) / 1000.0, 2
+            )
+        if self.noncompliant_total:
+            figures["deaf_known"] = round(self.noncompliant_found / self.noncompliant_total, 2)
+            figures["wrongly_deaf"] = float(self.wrongly_noncompliant)
+        return figures
--- a/rig/machine.py
+++ b/rig/machine.py
@@ -1,7 +1,8 @@
-"""Stand-in for one machine: cores shared by readings and runs, a cold start, a collapse past a crowd.
+"""Simulated machine: cores shared by reads and runs, a cold start, and a collapse under too much concurrency.
 
-Reading comes before an exchange reaches the backend and costs work whatever is then decided: each core reads
-one at a time beside running work, the rest wait unread. All jobs on the cores get an equal share."""
+Each exchange is read before it reaches the backend, and the read costs work whatever the backend decides. A
+core reads one exchange at a time beside running work; further exchanges wait unread. All jobs on the cores
+get an equal share."""
 
 from __future__ import annotations
 
@@ -12,25 +13,32 @@
 from itertools import count
 from typing import Any, Protocol
 
-Do = Callable[[], object]
+Callback = Callable[[], object]
 
+WORK_TOLERANCE_MS = 1e-6  # rounding errors of the cumulative work
+
+
+class Scheduler(Protocol):
+    """Time in milliseconds, with callbacks at a time or after a delay."""
 
-class Time(Protocol):
     @property
     def now(self) -> float: ...
-    def at(self, when: float, do: Do) -> None: ...
-    def after(self, span: float, do: Do) -> None: ...
+    def call_at(self, when: float, callback: Callback) -> None: ...
+    def call_later(self, delay_ms: float, callback: Callback) -> None: ...
 
 
 @dataclass(frozen=True)
-class Build:
-    """What a machine is. Work in ms on one core at full speed."""
+class MachineSpec:
+    """Properties of a machine. Work is in milliseconds on one core at full speed.
+
+    Field names are written to result.json.
+    """
 
     cores: int = 6
     speed: float = 1.0
     reading: float = 75.0
-    thrash: float = 0.7  # of its speed that is left past the crowd
-    thrash_at: float = 1.35  # jobs for each core up to which nothing is lost
+    thrash: float = 0.7  # share of the speed that is left far above thrash_at
+    thrash_at: float = 1.35  # jobs per core up to which no speed is lost
     cold_from: float = 0.3
     cold_ms: float = 10_000.0
     memory_kb: float = 60_000.0
@@ -41,148 +49,169 @@
 
 @dataclass(eq=False)
 class Job:
+    """A read or a run that occupies the cores."""
+
     work: float
-    done: Do | None
-    run: bool
-    end: float = 0.0
-    began: float = 0.0
-    kb: float = 0.0
+    on_done: Callback | None
+    is_run: bool
+    ends_at_work: float = 0.0
+    began_at: float = 0.0
+    memory_kb: float = 0.0
 
 
 class Machine:
-    TICK = 50.0
+    """Processor sharing between all jobs, computed only when the set of jobs changes."""
+
+    SAMPLING_INTERVAL_MS = 50.0
 
-    def __init__(self, time: Time, build: Build, cold: bool, up_since: float | None = None) -> None:
-        self.time, self.build = time, build
-        self.born = time.now if up_since is None else up_since
+    def __init__(
+        self, clock: Scheduler, build: MachineSpec, cold: bool, up_since: float | None = None
+    ) -> None:
+        self.clock, self.build = clock, build
+        self.started_at = clock.now if up_since is None else up_since
         self.cold = cold
         self.jobs: set[Job] = set()
-        self.ends: list[tuple[float, int, Job]] = []
-        self.order = count().__next__
-        self.unread: deque[tuple[Do]] = deque()
-        self.readings = self.runs = 0
-        self.given = 0.0  # work each job on the cores was given so far
-        self.seen = time.now
-        self.due = 0  # the wake-up that counts
-        self.crowd = 0.0  # mean runs on the cores over the span of a fall
-        self.held_kb = 0.0
-        self.dead = False
-        self.fell = False
-        self.slow = 1.0  # a slow spell divides the speed
+        self.completions: list[tuple[float, int, Job]] = []
+        self.next_sequence = count().__next__
+        self.unread_queue: deque[tuple[Callback]] = deque()
+        self.active_reads = self.active_runs = 0
+        self.work_per_job = 0.0  # cumulative work that a job present throughout would have received
+        self.updated_at = clock.now
+        self.wakeup_number = 0  # number of the latest wake-up; earlier ones are ignored
+        self.mean_runs = 0.0  # moving average of the active runs over fall_ms
+        self.used_memory_kb = 0.0
+        self.is_dead = False
+        self.has_collapsed = False
+        self.slowdown = 1.0  # divides the speed
         self.busy_ms = {"readings": 0.0, "runs": 0.0}
-        time.after(self.TICK, self._tick)
+        clock.call_later(self.SAMPLING_INTERVAL_MS, self._tick)
 
     def warmth(self) -> float:
+        """Returns the share of full speed that the machine has reached since its start."""
         if not self.cold:
             return 1.0
-        b = self.build
-        return min(1.0, b.cold_from + (1.0 - b.cold_from) * (self.time.now - self.born) / b.cold_ms)
+        spec = self.build
+        return min(
+            1.0, spec.cold_from + (1.0 - spec.cold_from) * (self.clock.now - self.started_at) / spec.cold_ms
+        )
 
     def _rate(self) -> float:
-        """Work for each job in a ms."""
-        n, b = len(self.jobs), self.build
+        """Returns the work that each job receives per millisecond."""
+        n, spec = len(self.jobs), self.build
         if not n:
             return 0.0
-        crowded = n / (b.thrash_at * b.cores)
-        eff = 1.0 if crowded <= 1.0 else b.thrash + (1.0 - b.thrash) / crowded
-        return min(1.0, b.cores / n) * eff * b.speed * self.warmth() / self.slow
-
-    def _pass(self) -> None:
-        """Gives out the work of the time since the last look."""
-        span = self.time.now - self.seen
-        if span > 0:
+        load_factor = n / (spec.thrash_at * spec.cores)
+        efficiency = 1.0 if load_factor <= 1.0 else spec.thrash + (1.0 - spec.thrash) / load_factor
+        return min(1.0, spec.cores / n) * efficiency * spec.speed * self.warmth() / self.slowdown
+
+    def _advance(self) -> None:
+        """Accounts for the work done since the last update."""
+        elapsed_ms = self.clock.now - self.updated_at
+        if elapsed_ms > 0:
             rate = self._rate()
-            self.given += span * rate
-            self.busy_ms["readings"] += span * rate * self.readings
-            self.busy_ms["runs"] += span * rate * self.runs
-            share = min(1.0, span / self.build.fall_ms)
-            self.crowd += share * (self.runs - self.crowd)
-            self.seen = self.time.now
-
-    def _wind(self) -> None:
-        while self.ends and self.ends[0][2] not in self.jobs:
-            heappop(self.ends)
-        if not self.ends:
+            self.work_per_job += elapsed_ms * rate
+            self.busy_ms["readings"] += elapsed_ms * rate * self.active_reads
+            self.busy_ms["runs"] += elapsed_ms * rate * self.active_runs
+            share = min(1.0, elapsed_ms / self.build.fall_ms)
+            self.mean_runs += share * (self.active_runs - self.mean_runs)
+            self.updated_at = self.clock.now
+
+    def _schedule_wakeup(self) -> None:
+        while self.completions and self.completions[0][2] not in self.jobs:
+            heappop(self.completions)
+        if not self.completions:
             return
-        self.due = number = self.due + 1
-        self.time.after(max(0.0, (self.ends[0][0] - self.given) / self._rate()), lambda: self._wake(number))
+        self.wakeup_number = number = self.wakeup_number + 1
+        self.clock.call_later(
+            max(0.0, (self.completions[0][0] - self.work_per_job) / self._rate()), lambda: self._wake(number)
+        )
 
     def _wake(self, number: int) -> None:
-        if number == self.due and not self.dead:
-            self._pass()
-            over: list[Job] = []
-            while self.ends and (self.ends[0][2] not in self.jobs or self.ends[0][0] <= self.given + 1e-6):
-                job = heappop(self.ends)[2]
+        if number == self.wakeup_number and not self.is_dead:
+            self._advance()
+            finished: list[Job] = []
+            while self.completions and (
+                self.completions[0][2] not in self.jobs
+                or self.completions[0][0] <= self.work_per_job + WORK_TOLERANCE_MS
+            ):
+                job = heappop(self.completions)[2]
                 if job in self.jobs:
-                    self._take_off(job)
-                    over.append(job)
-            for job in over:
-                if job.done is not None:
-                    job.done()
-            self._read_on()
-            self._wind()
+                    self._remove_job(job)
+                    finished.append(job)
+            for job in finished:
+                if job.on_done is not None:
+                    job.on_done()
+            self._start_reads()
+            self._schedule_wakeup()
 
     def _tick(self) -> None:
-        if self.dead:
+        if self.is_dead:
             return
-        self._pass()
-        s, b = self.warmth(), self.build
-        if self.crowd > (1.0 + (b.fall_multiple - 1.0) * s) * b.cores or self.held_kb > b.memory_kb:
-            self.fell = True
-        self._wind()
-        self.time.after(self.TICK, self._tick)
-
-    def _take_off(self, job: Job) -> None:
+        self._advance()
+        warmth, spec = self.warmth(), self.build
+        if (
+            self.mean_runs > (1.0 + (spec.fall_multiple - 1.0) * warmth) * spec.cores
+            or self.used_memory_kb > spec.memory_kb
+        ):
+            self.has_collapsed = True
+        self._schedule_wakeup()
+        self.clock.call_later(self.SAMPLING_INTERVAL_MS, self._tick)
+
+    def _remove_job(self, job: Job) -> None:
         self.jobs.discard(job)
-        if job.run:
-            self.runs -= 1
-            self.held_kb -= job.kb
+        if job.is_run:
+            self.active_runs -= 1
+            self.used_memory_kb -= job.memory_kb
         else:
-            self.readings -= 1
+            self.active_reads -= 1
 
-    def _put_on(self, job: Job) -> None:
-        job.end, job.began = self.given + job.work, self.time.now
+    def _add_job(self, job: Job) -> None:
+        job.ends_at_work, job.began_at = self.work_per_job + job.work, self.clock.now
         self.jobs.add(job)
-        heappush(self.ends, (job.end, self.order(), job))
+        heappush(self.completions, (job.ends_at_work, self.next_sequence(), job))
 
-    def read(self, done: Do) -> None:
-        """One exchange came in; `done` hands it to the backend once it is read."""
-        if self.dead:
+    def read(self, on_done: Callback) -> None:
+        """Queues an arrived exchange; `on_done` passes it to the backend once it is read."""
+        if self.is_dead:
             return
-        self._pass()
-        self.unread.append((done,))
-        self._read_on()
-        self._wind()
-
-    def _read_on(self) -> None:
-        while self.unread and self.readings < self.build.cores:
-            (done,) = self.unread.popleft()
-            self.readings += 1
-            self._put_on(Job(self.build.reading, done, run=False))
-
-    def run(self, work: float, kb: float, done: Do) -> Job:
-        self._pass()
-        job = Job(work, done, run=True, kb=kb * self.build.run_weight)
-        self.runs += 1
-        self.held_kb += job.kb
-        self._put_on(job)
-        self._wind()
+        self._advance()
+        self.unread_queue.append((on_done,))
+        self._start_reads()
+        self._schedule_wakeup()
+
+    def _start_reads(self) -> None:
+        while self.unread_queue and self.active_reads < self.build.cores:
+            (on_done,) = self.unread_queue.popleft()
+            self.active_reads += 1
+            self._add_job(Job(self.build.reading, on_done, is_run=False))
+
+    def run(self, work: float, kb: float, on_done: Callback) -> Job:
+        """Starts a run and returns its job."""
+        self._advance()
+        job = Job(work, on_done, is_run=True, memory_kb=kb * self.build.run_weight)
+        self.active_runs += 1
+        self.used_memory_kb += job.memory_kb
+        self._add_job(job)
+        self._schedule_wakeup()
         return job
 
-    def halt(self, job: Job) -> bool:
+    def cancel(self, job: Job) -> bool:
+        """Removes a job; returns False where it has ended already."""
         if job not in self.jobs:
             return False
-        self._pass()
-        self._take_off(job)
-        self._wind()
+        self._advance()
+        self._remove_job(job)
+        self._schedule_wakeup()
         return True
 
     def gauges(self) -> dict[str, Any]:
-        n, b = len(self.jobs), self.build
-        heap = self.held_kb / b.memory_kb
-        return {"cpu": min(1.0, n / b.cores), "on_cores": float(n), "memory": heap, "connections": 0.0}
-
-    def die(self) -> None:
-        self.dead = True
+        """Returns the gauges that the agent reports, by field name of policy.interface.Gauges."""
+        n, spec = len(self.jobs), self.build
+        heap = self.used_memory_kb / spec.memory_kb
+        return {"cpu": min(1.0, n / spec.cores), "on_cores": float(n), "memory": heap, "connections": 0.0}
+
+    def shut_down(self) -> None:
+        """Drops all jobs and unread exchanges without calling their callbacks."""
+        self.is_dead = True
         self.jobs.clear()
-        self.unread.clear()
+        self.unread_queue.clear()
--- a/rig/processes/backend_process.py
+++ b/rig/processes/backend_process.py
@@ -17,15 +17,15 @@
 from gevent.queue import Queue
 
 from myrtlecrank.policy import interface
-from rig.backend_stand_in import Stand
-from rig.callers import Said, Try
-from rig.machine import Build
+from rig.backend_stand_in import BackendStandIn
+from rig.callers import Try, TryOutcome
+from rig.machine import MachineSpec
 from rig.processes import caller_protocol
 from rig.processes.real_clock import RealClock
 from rig.rules import Rules
 
 ROOT = Path(__file__).parent.parent.parent
-SAID = {0: Said.COMPLETED, 1: Said.DENIED, 2: Said.TERMINATED}
+SAID = {0: TryOutcome.COMPLETED, 1: TryOutcome.DENIED, 2: TryOutcome.TERMINATED}
 OPEN = 32  # exchanges that one connection carries at a time
 LOOK_S = 0.02
 UP_S = 30.0  # a process that does not listen by then is given up
@@ -103,7 +103,9 @@
     def ask(self, one: Try, fields: dict[str, str]) -> None:
         self.stream += 1
         self.open[self.stream] = one
-        self.queue.put((one, caller_protocol.frame(caller_protocol.ASK, self.stream, fields, one.wish.body)))
+        self.queue.put(
+            (one, caller_protocol.frame(caller_protocol.ASK, self.stream, fields, one.request.body))
+        )
 
     def _run(self) -> None:
         try:
@@ -118,7 +120,7 @@
             while (item := self.queue.get()) is not None:
                 one, raw = item
                 sock.sendall(raw)
-                self.process.taken(one)
+                self.process.mark_read(one)
         except OSError:
             pass
         reader.join()
@@ -142,10 +144,12 @@
     def _answered(self, stream: int, code: int, fields: dict[str, str]) -> None:
         one = self.open.pop(stream, None)
         if one is None:
-            self.process.rules.strange(self.process.number, stream, self.process.clock.now)
+            self.process.rules.record_unexpected_answer(self.process.number, stream, self.process.clock.now)
             return
         value = float(fields["v"]) if "v" in fields else None
-        self.process.answered(one, SAID[code], value, float(fields.get("w", 0.0)), fields.get("l") == "1")
+        self.process.deliver_answer(
+            one, SAID[code], value, float(fields.get("w", 0.0)), fields.get("l") == "1"
+        )
 
     def _ended(self, sent: bool) -> None:
         """Whatever is open breaks with the connection; what no byte was written for is merely closed."""
@@ -154,29 +158,29 @@
         self.queue.put(None)
         for one in list(self.open.values()):
             taken = sent and one.read_at is not None
-            if one.answered is None:
-                self.process.broken(one, Said.BROKEN if taken else Said.CLOSED)
+            if one.outcome is None:
+                self.process.broken(one, TryOutcome.CONNECTION_LOST if taken else TryOutcome.NOT_CONNECTED)
         self.open.clear()
 
 
-class Process(Stand):
+class Process(BackendStandIn):
     def __init__(
         self,
         number: int,
         clock: RealClock,
         facts: interface.StartFacts,
-        build: Build,
+        build: MachineSpec,
         rules: Rules,
         cold: bool,
         stop_ms: float,
-        tell_list: Callable[[int, bool], None],
+        report_membership: Callable[[int, bool], None],
         on_read: Callable[[Try], None],
         members: str,
         listen: tuple[str, int],
         folder: Path,
         operators: Path,
     ) -> None:
-        super().__init__(number, clock, build, rules, cold, stop_ms, tell_list, on_read)
+        super().__init__(number, clock, build, rules, cold, stop_ms, report_membership, on_read)
         self.real, self.listen, self.facts = clock, listen, facts
         self.links: dict[int, list[Link]] = {}
         self.notices = [b""]  # numbered from 1
@@ -218,11 +222,11 @@
         """Follows the process to its end, and what it uses."""
         while self.process.poll() is None:
             self._usage()
-            gevent.sleep(LOOK_S if self.notice is not None else 0.2)
+            gevent.sleep(LOOK_S if self.drain_requested_at is not None else 0.2)
         self.log.close()
         self.agent.close()
-        if self.alive and self.notice is None:
-            self.rules.fell(self.number, self.clock.now)
+        if self.alive and self.drain_requested_at is None:
+            self.rules.record_collapse(self.number, self.clock.now)
         self.stop()
 
     def _usage(self) -> None:
@@ -237,26 +241,26 @@
 
     # Callers
 
-    def accepts(self) -> bool:
+    def accepts_connections(self) -> bool:
         return self.process.poll() is None
 
-    def hand_in(self, one: Try) -> None:
+    def submit(self, one: Try) -> None:
         links = self.links.setdefault(one.caller.number, [])
         link = next((link for link in links if not link.shut and len(link.open) < OPEN), None)
         if link is None:
             link = Link(self)
             links.append(link)
-        wish = one.wish
-        wait = wish.due - wish.first if one.caller.habits.told_whole else one.wait
+        request = one.request
+        wait = request.deadline - request.created_at if one.caller.behaviour.told_whole else one.timeout
         fields = {
-            "c": self.facts.groups[wish.group].name,
-            "i": one.ident,
-            "s": f"{self.real.begun + one.reached:.0f}",  # type: ignore[operator]
+            "c": self.facts.groups[request.group].name,
+            "i": one.exchange_id,
+            "s": f"{self.real.began_at + one.arrived_at:.0f}",  # type: ignore[operator]
             "f": str(one.caller.number),
-            "t": f"tenant-{wish.tenant}",
+            "t": f"tenant-{request.tenant}",
             "d": f"{wait:.0f}",
-            "m": f"{wish.kb:.1f}",
-            "p": f"{wish.rank:.4f}",
+            "m": f"{request.memory_kb:.1f}",
+            "p": f"{request.rank:.4f}",
         }
         link.ask(one, fields)
 
@@ -265,13 +269,13 @@
             if link in links:
                 links.remove(link)
 
-    def broken(self, one: Try, said: Said) -> None:
+    def broken(self, one: Try, outcome: TryOutcome) -> None:
         """Its connection is gone. A backend that is well may not do that to what it has read."""
-        if said is Said.BROKEN and self.alive and self.notice is None:
-            self.rules.dropped(one, self.clock.now)
-        self.rules.cut(one)
-        self.tries.pop(one.ident, None)
-        self.clock.after(self.HOP, lambda: one.caller.heard(one, said))
+        if outcome is TryOutcome.CONNECTION_LOST and self.alive and self.drain_requested_at is None:
+            self.rules.record_dropped_connection(one, self.clock.now)
+        self.rules.record_lost_try(one)
+        self.tries.pop(one.exchange_id, None)
+        self.clock.call_later(self.NETWORK_DELAY_MS, lambda: one.caller.receive_answer(one, outcome))
 
     # The agent
 
@@ -292,14 +296,14 @@
                     case ["subscribe", number]:
                         state = "EMPTY" if self.machine.cold else "LOADED"
                         link.sendall(
-                            f"greeting {state} {self.clock.now - self.machine.born:.0f}\r\n".encode()
+                            f"greeting {state} {self.clock.now - self.machine.started_at:.0f}\r\n".encode()
                         )
                         link.sendall(b"".join(self.notices[int(number) + 1 :]))
                     case ["launch", ident, _, length]:
                         file.read(int(length) + 2)
-                        self.clock.after(0.0, lambda ident=ident: self.launch(ident))  # type: ignore[misc]
+                        self.clock.call_later(0.0, lambda ident=ident: self.start_run(ident))  # type: ignore[misc]
                     case ["freeze", ident]:
-                        self.clock.after(0.0, lambda ident=ident: self.freeze(ident))  # type: ignore[misc]
+                        self.clock.call_later(0.0, lambda ident=ident: self.cancel_run(ident))  # type: ignore[misc]
                     case ["sample", tag]:
                         g = self.machine.gauges()
                         values = (
@@ -309,7 +313,7 @@
         except OSError:
             pass
 
-    def notify(self, ident: str, end: str, took: float) -> None:
+    def report_run_end(self, ident: str, end: str, took: float) -> None:
         number = len(self.notices)
         result = b"result" if end == "PASS" else b""
         head = f"outcome {number} {ident} {end} {took:.3f} {len(result)}\r\n"
@@ -322,11 +326,11 @@
 
     # Its end
 
-    def leave(self) -> None:
-        if self.alive and self.notice is None:
-            self.notice = self.clock.now
+    def request_drain(self) -> None:
+        if self.alive and self.drain_requested_at is None:
+            self.drain_requested_at = self.clock.now
             self.process.send_signal(signal.SIGTERM)
-            self.clock.after(self.stop_ms, self.stop)
+            self.clock.call_later(self.stop_ms, self.stop)
 
     def kill(self) -> None:
         super().kill()
--- a/rig/processes/fleet.py
+++ b/rig/processes/fleet.py
@@ -11,7 +11,7 @@
 import httptools
 from gevent import socket
 
-from rig.backend_stand_in import Stand
+from rig.backend_stand_in import BackendStandIn
 from rig.fleet import Fleet, Scene
 from rig.processes.backend_process import Process, free_address
 from rig.processes.real_clock import RealClock
@@ -68,8 +68,8 @@
     def reported(self, number: int, on: bool) -> None:
         fleet = self.fleet
         self.heard[number] = fleet.clock.now
-        if number < len(fleet.backends) and fleet.listed_at[number][-1][1] != on:
-            fleet.tell_list(number, on)
+        if number < len(fleet.backends) and fleet.listing_history[number][-1][1] != on:
+            fleet.report_membership(number, on)
 
 
 class RealFleet(Fleet):
@@ -84,8 +84,8 @@
         self.real = RealClock()
         super().__init__(scene, seed, clock=self.real)
 
-    def _start(self, number: int, cold: bool) -> Stand:
-        self.starts += 1
+    def _start(self, number: int, cold: bool) -> BackendStandIn:
+        self.start_count += 1
         if number < len(self.backends):
             old = self.backends[number]
             assert isinstance(old, Process)
@@ -94,12 +94,12 @@
         return Process(
             number,
             self.real,
-            scene.facts(self.seed * 1000 + self.starts),
+            scene.facts(self.seed * 1000 + self.start_count),
             scene.build,
             self.rules,
             cold,
             scene.stop_ms,
-            self.tell_list,
+            self.report_membership,
             self._read,
             self.members.address,
             self.ports[number],
@@ -124,7 +124,7 @@
                 one.wait_up()
             self.real.begin()
             for one in self.backends:
-                one.machine.born = -60_000.0
+                one.machine.started_at = -60_000.0
             super().play()
         finally:
             self.close()
--- a/rig/processes/real_clock.py
+++ b/rig/processes/real_clock.py
@@ -1,4 +1,4 @@
-"""The rig's clock in real time: due things are done on one greenlet, and how late they were is kept."""
+"""Real-time clock of the rig: one greenlet runs due callbacks, and their lateness is recorded."""
 
 from __future__ import annotations
 
@@ -11,44 +11,47 @@
 
 from rig.clock import Clock
 
+SHORTEST_WAIT_S = 0.0005
+
 
 class RealClock(Clock):
-    """Stands at 0 until begin(); from then on it shows the ms since."""
+    """Shows 0 until begin() and the milliseconds since begin() afterwards."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.begun: float | None = None
-        self.late = HdrHistogram(1, 10_000_000, 3)  # us
-        self._earlier = Event()
+        self.began_at: float | None = None
+        self.lateness_us = HdrHistogram(1, 10_000_000, 3)
+        self._rescheduled = Event()
 
     @property
     def now(self) -> float:
-        return 0.0 if self.begun is None else time.time() * 1000.0 - self.begun
+        return 0.0 if self.began_at is None else time.time() * 1000.0 - self.began_at
 
     @now.setter
     def now(self, _: float) -> None:
-        """Real time is not set."""
+        """Ignored: real time cannot be set."""
 
     def begin(self) -> None:
-        self.begun = time.time() * 1000.0
+        """Starts the clock."""
+        self.began_at = time.time() * 1000.0
 
-    def at(self, when: float, do: Callable[[], object]) -> None:
-        first = not self._dues or when < self._dues[0][0]
-        heappush(self._dues, (when, self._order(), do))
+    def call_at(self, when: float, callback: Callable[[], object]) -> None:
+        first = not self._scheduled or when < self._scheduled[0][0]
+        heappush(self._scheduled, (when, self._next_sequence(), callback))
         if first:
-            self._earlier.set()
+            self._rescheduled.set()
 
-    def play(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         while (now := self.now) < until:
-            if self._dues and self._dues[0][0] <= now:
-                due, _, do = heappop(self._dues)
-                self.late.record_value(max(1, round((now - due) * 1000.0)))
-                do()
+            if self._scheduled and self._scheduled[0][0] <= now:
+                due, _, callback = heappop(self._scheduled)
+                self.lateness_us.record_value(max(1, round((now - due) * 1000.0)))
+                callback()
                 continue
-            self._earlier.clear()
-            left = min(until, self._dues[0][0] if self._dues else until) - now
-            self._earlier.wait(max(0.0005, left / 1000.0))
+            self._rescheduled.clear()
+            left = min(until, self._scheduled[0][0] if self._scheduled else until) - now
+            self._rescheduled.wait(max(SHORTEST_WAIT_S, left / 1000.0))
 
     def lateness_ms(self) -> float:
-        """The 99th percentile of how late due things were done."""
-        return float(self.late.get_value_at_percentile(99.0)) / 1000.0
+        """Returns the 99th percentile of the callbacks' lateness."""
+        return float(self.lateness_us.get_value_at_percentile(99.0)) / 1000.0
--- a/rig/results.py
+++ b/rig/results.py
@@ -1,4 +1,4 @@
-"""How results are kept: result.json, table.md and chart.png in one folder."""
+"""Saves results as result.json, table.md and chart.png in one folder."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from myrtlecrank import __version__
 from rig.experiments import Play
 
-SHOWN = (
+FIGURE_NAMES = (
     "before",
     "away",
     "service_in_storm",
@@ -38,41 +38,46 @@
 
 
 def versions() -> dict[str, str]:
+    """Returns the versions and the machine type for result.json."""
     return {"myrtlecrank": __version__, "python": platform.python_version(), "machine": platform.machine()}
 
 
-def _figure(value: float | None) -> str:
+def _format_figure(value: float | None) -> str:
     return "never" if value is None else f"{value:g}"
 
 
 def table(plays: Sequence[tuple[str, Play]]) -> str:
-    """A row a play, and the mean and the worst of each side."""
-    keys = [key for key in SHOWN if any(key in p.figures for _, p in plays)]
+    """Returns a Markdown table with a row per run and the means of each side."""
+    keys = [key for key in FIGURE_NAMES if any(key in play.figures for _, play in plays)]
     rows = [f"| side | seed | {' | '.join(keys)} | breaks |", f"| --- | --- |{' --- |' * (len(keys) + 1)}"]
-    for side, p in plays:
-        cells = [_figure(p.figures[key]) if key in p.figures else "" for key in keys]
-        rows.append(f"| {side} | {p.seed} | {' | '.join(cells)} | {sum(p.rules.values())} |")
+    for side, play in plays:
+        cells = [_format_figure(play.figures[key]) if key in play.figures else "" for key in keys]
+        rows.append(f"| {side} | {play.seed} | {' | '.join(cells)} | {sum(play.rules.values())} |")
     for side in dict.fromkeys(side for side, _ in plays):
-        mine = [p for which, p in plays if which == side]
+        side_plays = [play for which, play in plays if which == side]
         cells = []
         for key in keys:
-            values = [p.figures[key] for p in mine if key in p.figures]
+            values = [play.figures[key] for play in side_plays if key in play.figures]
             known = [value for value in values if value is not None]
             mean = f"{sum(known) / len(known):.3g}" if known else ""
             never = len(values) - len(known)
             cells.append(f"{mean} ({never} never)" if never else mean)
-        rows.append(f"| {side} | mean | {' | '.join(cells)} | {sum(sum(p.rules.values()) for p in mine)} |")
+        violations = sum(sum(play.rules.values()) for play in side_plays)
+        rows.append(f"| {side} | mean | {' | '.join(cells)} | {violations} |")
     return "\n".join(rows) + "\n"
 
 
 def summary(plays: Sequence[tuple[str, Play]]) -> dict[str, dict[str, Any]]:
-    """Of each side and figure: the mean, the least, the most, and how many plays never came to one."""
+    """Returns by side and figure the mean, least and most value, and the number of runs without one."""
     found: dict[str, dict[str, Any]] = {}
     for side in dict.fromkeys(side for side, _ in plays):
-        mine = [p for which, p in plays if which == side]
-        rows: dict[str, Any] = {"plays": len(mine), "breaks": sum(sum(p.rules.values()) for p in mine)}
-        for key in SHOWN:
-            values = [p.figures[key] for p in mine if key in p.figures]
+        side_plays = [play for which, play in plays if which == side]
+        rows: dict[str, Any] = {
+            "plays": len(side_plays),
+            "breaks": sum(sum(play.rules.values()) for play in side_plays),
+        }
+        for key in FIGURE_NAMES:
+            values = [play.figures[key] for play in side_plays if key in play.figures]
             known = [value for value in values if value is not None]
             if values:
                 rows[key] = {
@@ -85,14 +90,15 @@
     return found
 
 
-def keep(plays: Sequence[tuple[str, Play]], folder: Path, title: str) -> None:
-    from rig import charts  # heavy: only where something is kept
+def save(plays: Sequence[tuple[str, Play]], folder: Path, title: str) -> None:
+    """Writes the results, their table and their chart into a folder."""
+    from rig import charts  # imports matplotlib, which takes long
 
     folder.mkdir(parents=True, exist_ok=True)
-    rows = [{"side": side, **asdict(p)} for side, p in plays]
+    rows = [{"side": side, **asdict(play)} for side, play in plays]
     parameters = rows[0]["parameters"]
     for row in rows:
-        del row["parameters"]  # the same for all, but for what the one side is without
+        del row["parameters"]  # the same for all runs, except for the subsystem that one side runs without
         for name, series in row["series"].items():
             row["series"][name] = [round(value, 2) for value in series]
     kept = {
@@ -104,14 +110,14 @@
     }
     (folder / "result.json").write_text(json.dumps(kept, separators=(",", ":")) + "\n")
     (folder / "table.md").write_text(f"# {title}\n\n{table(plays)}")
-    charts.storm([(row["side"], row) for row in rows], parameters, title, folder / "chart.png")
+    charts.draw_storm([(row["side"], row) for row in rows], parameters, title, folder / "chart.png")
 
 
-def again(folder: Path) -> Path:
-    """The chart once more from what was kept."""
+def redraw_chart(folder: Path) -> Path:
+    """Draws the chart again from result.json and returns its path."""
     from rig import charts
 
     kept = json.loads((folder / "result.json").read_text())
     plays = [(row["side"], row) for row in kept["plays"]]
-    charts.storm(plays, kept["parameters"], kept["title"], folder / "chart.png")
+    charts.draw_storm(plays, kept["parameters"], kept["title"], folder / "chart.png")
     return folder / "chart.png"
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig: its stand-ins keep to what they say, and its checkers find what is planted."""
+"""Tests of the rig: the stand-ins behave as specified, and the checkers find injected faults."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from click.testing import CliRunner
 
 from rig.__main__ import main
-from rig.callers import Caller, Habits, Said, Try, Wish
+from rig.callers import Caller, CallerBehaviour, Request, Try, TryOutcome
 from rig.clock import Clock
 from rig.experiments import play, scene_of
 from rig.fleet import Fleet, Scene, figures
-from rig.machine import Build, Machine
+from rig.machine import Machine, MachineSpec
 from rig.rules import Rules
 
 SMALL = Scene(backends=3, callers=6, calm_ms=4000.0, away_ms=2000.0, after_ms=5000.0, killed=0.34, deaf=0.34)
@@ -22,32 +22,32 @@
 
 def machine(**changes: object) -> tuple[Clock, Machine]:
     clock = Clock()
-    return clock, Machine(clock, replace(Build(cores=2, reading=10.0), **changes), cold=False)  # type: ignore[arg-type]
+    return clock, Machine(clock, replace(MachineSpec(cores=2, reading=10.0), **changes), cold=False)  # type: ignore[arg-type]
 
 
 def test_a_run_alone_takes_its_work() -> None:
     clock, one = machine()
     ends: list[float] = []
     one.run(100.0, 1.0, lambda: ends.append(clock.now))
-    clock.play(1000.0)
+    clock.run_until(1000.0)
     assert ends == [pytest.approx(100.0)]
 
 
-def test_runs_and_readings_share_the_cores() -> None:
+def test_runs_share_the_cores() -> None:
     clock, one = machine(thrash=1.0)
     ends: list[float] = []
     for _ in range(4):
         one.run(100.0, 1.0, lambda: ends.append(clock.now))
-    clock.play(1000.0)
+    clock.run_until(1000.0)
     assert ends == [pytest.approx(200.0)] * 4
 
 
-def test_past_the_crowd_less_gets_done() -> None:
+def test_speed_falls_above_the_thrashing_threshold() -> None:
     clock, one = machine(thrash=0.5, thrash_at=1.0)
     ends: list[float] = []
     for _ in range(4):
         one.run(100.0, 1.0, lambda: ends.append(clock.now))
-    clock.play(2000.0)
+    clock.run_until(2000.0)
     assert ends[0] > 250.0
 
 
@@ -56,135 +56,137 @@
     ends: list[float] = []
     for _ in range(4):
         one.read(lambda: ends.append(clock.now))
-    clock.play(1000.0)
+    clock.run_until(1000.0)
     assert ends == [pytest.approx(at) for at in (10.0, 10.0, 20.0, 20.0)]
 
 
-def test_a_halted_run_leaves_the_cores_to_the_others() -> None:
+def test_a_cancelled_run_frees_its_cores() -> None:
     clock, one = machine(cores=1, thrash=1.0)
     ends: list[float] = []
     gone = one.run(100.0, 1.0, lambda: ends.append(-1.0))
     one.run(100.0, 1.0, lambda: ends.append(clock.now))
-    clock.at(50.0, lambda: one.halt(gone))
-    clock.play(1000.0)
+    clock.call_at(50.0, lambda: one.cancel(gone))
+    clock.run_until(1000.0)
     assert ends == [pytest.approx(125.0)]
 
 
 class Answers:
-    """Plays backends by hand: each try is answered at once with what `say` makes of it."""
+    """Network double that answers each try after 1 ms with the outcome listed for its backend."""
 
-    def __init__(self, clock: Clock, say: dict[int, tuple[Said, bool]]) -> None:
-        self.clock, self.say = clock, say
+    def __init__(self, clock: Clock, outcomes: dict[int, tuple[TryOutcome, bool]]) -> None:
+        self.clock, self.outcomes = clock, outcomes
         self.sent: list[Try] = []
 
-    def listed(self, caller: Caller) -> list[int]:
+    def listed_backends(self, caller: Caller) -> list[int]:
         return [0, 1, 2]
 
     def send(self, one: Try) -> None:
         self.sent.append(one)
-        said, last = self.say.get(one.backend, (Said.DENIED, False))
-        self.clock.after(1.0, lambda: one.caller.heard(one, said, 5.0, 0.0, last))
+        outcome, last = self.outcomes.get(one.backend, (TryOutcome.DENIED, False))
+        self.clock.call_later(1.0, lambda: one.caller.receive_answer(one, outcome, 5.0, 0.0, last))
 
 
-def caller(habits: Habits, say: dict[int, tuple[Said, bool]]) -> tuple[Clock, Answers, Caller, Wish]:
+def caller(
+    habits: CallerBehaviour, outcomes: dict[int, tuple[TryOutcome, bool]]
+) -> tuple[Clock, Answers, Caller, Request]:
     clock = Clock()
-    net = Answers(clock, say)
+    net = Answers(clock, outcomes)
     one = Caller(1, clock, net, habits, 1, lambda _: None, lambda _: None)
-    wish = Wish(1, 0.0, 0, 0, 0.5, 10.0, b"", 100.0, habits.deaf, 1000.0, 500.0, 1.0)
-    one.next = 0
-    return clock, net, one, wish
+    request = Request(1, 0.0, 0, 0, 0.5, 10.0, b"", 100.0, habits.deaf, 1000.0, 500.0, 1.0)
+    one.next_position = 0
+    return clock, net, one, request
 
 
-def test_a_caller_walks_its_list_and_ends_with_it() -> None:
-    clock, net, one, wish = caller(Habits(), {})
-    one.ask(wish)
-    clock.play(1000.0)
+def test_a_caller_tries_each_listed_backend_once() -> None:
+    clock, net, one, request = caller(CallerBehaviour(), {})
+    one.submit(request)
+    clock.run_until(1000.0)
     assert [t.backend for t in net.sent] == [0, 1, 2]
-    assert wish.over
+    assert request.is_finished
 
 
-def test_a_final_denial_ends_the_walk_of_one_that_heeds() -> None:
-    clock, net, one, wish = caller(Habits(), {0: (Said.DENIED, True)})
-    one.ask(wish)
-    clock.play(1000.0)
+def test_a_final_denial_stops_a_compliant_caller() -> None:
+    clock, net, one, request = caller(CallerBehaviour(), {0: (TryOutcome.DENIED, True)})
+    one.submit(request)
+    clock.run_until(1000.0)
     assert len(net.sent) == 1
 
 
-def test_a_deaf_caller_goes_round_until_its_time_is_over() -> None:
-    clock, net, one, wish = caller(Habits(deaf=True), {0: (Said.DENIED, True)})
-    one.ask(wish)
-    clock.play(2000.0)
+def test_a_noncompliant_caller_retries_until_its_deadline() -> None:
+    clock, net, one, request = caller(CallerBehaviour(deaf=True), {0: (TryOutcome.DENIED, True)})
+    one.submit(request)
+    clock.run_until(2000.0)
     assert len(net.sent) > 100
-    assert max(t.sent for t in net.sent) < 500.0
-    assert len({t.ident for t in net.sent}) == len(net.sent)
+    assert max(t.sent_at for t in net.sent) < 500.0
+    assert len({t.exchange_id for t in net.sent}) == len(net.sent)
 
 
-def tried(clock: Clock, caller_: Caller, wish: Wish) -> Try:
-    return Try("x", wish, caller_, 0, 0.0, 500.0, 1, reached=0.0)
+def first_try(clock: Clock, caller_: Caller, request: Request) -> Try:
+    return Try("x", request, caller_, 0, 0.0, 500.0, 1, arrived_at=0.0)
 
 
 @pytest.mark.parametrize("bug", ["lost", "late", "twice", "drain", "fall", "stop"])
-def test_the_checker_finds_each_planted_break(bug: str) -> None:
-    clock, _, one, wish = caller(Habits(), {})
-    rules, t = Rules(grace=1800.0), tried(clock, one, wish)
-    rules.read(t, 10.0)
+def test_the_checker_finds_each_injected_violation(bug: str) -> None:
+    clock, _, one, request = caller(CallerBehaviour(), {})
+    rules, t = Rules(drain_grace_ms=1800.0), first_try(clock, one, request)
+    rules.record_read(t, 10.0)
     match bug:
         case "lost":
-            rules.look(600.0)
+            rules.check_overdue(600.0)
         case "late":
-            rules.answered(t, Said.DENIED, 600.0)
+            rules.record_answer(t, TryOutcome.DENIED, 600.0)
         case "twice":
-            rules.answered(t, Said.DENIED, 20.0)
-            t.answered = Said.DENIED
-            rules.answered(t, Said.COMPLETED, 30.0)
+            rules.record_answer(t, TryOutcome.DENIED, 20.0)
+            t.outcome = TryOutcome.DENIED
+            rules.record_answer(t, TryOutcome.COMPLETED, 30.0)
         case "drain":
-            t.reached = 2000.0
-            rules.launched(t, 2001.0, notice=100.0)
+            t.arrived_at = 2000.0
+            rules.record_run_start(t, 2001.0, drain_requested_at=100.0)
         case "fall":
-            rules.fell(0, 50.0)
+            rules.record_collapse(0, 50.0)
         case "stop":
-            rules.stopped([t])
+            rules.record_stop([t])
     wanted = {"late": "lost", "stop": "lost"}.get(bug, bug)
-    assert rules.breaks == {"lost": 0, "twice": 0, "drain": 0, "fall": 0} | {wanted: 1}
-    assert rules.first is not None and rules.first.startswith(wanted)
+    assert rules.violations == {"lost": 0, "twice": 0, "drain": 0, "fall": 0} | {wanted: 1}
+    assert rules.first_violation is not None and rules.first_violation.startswith(wanted)
 
 
-def test_the_checker_is_silent_on_what_keeps_the_rules() -> None:
-    clock, _, one, wish = caller(Habits(), {})
-    rules, t = Rules(grace=1800.0), tried(clock, one, wish)
-    rules.read(t, 10.0)
-    rules.launched(t, 20.0, notice=None)
-    rules.answered(t, Said.COMPLETED, 500.0)
-    rules.look(10_000.0)
-    assert not any(rules.breaks.values())
+def test_the_checker_reports_nothing_when_the_rules_hold() -> None:
+    clock, _, one, request = caller(CallerBehaviour(), {})
+    rules, t = Rules(drain_grace_ms=1800.0), first_try(clock, one, request)
+    rules.record_read(t, 10.0)
+    rules.record_run_start(t, 20.0, drain_requested_at=None)
+    rules.record_answer(t, TryOutcome.COMPLETED, 500.0)
+    rules.check_overdue(10_000.0)
+    assert not any(rules.violations.values())
 
 
-def test_a_program_that_answers_twice_is_found_in_a_played_fleet() -> None:
+def test_a_second_answer_in_a_fleet_run_is_found() -> None:
     fleet = Fleet(SMALL, seed=1)
-    hurt = fleet.backends[0]
-    answer = hurt._answer
+    faulty_backend = fleet.backends[0]
+    answer = faulty_backend._answer
 
-    def twice(said: object) -> None:
-        answer(said)  # type: ignore[arg-type]
-        answer(said)  # type: ignore[arg-type]
+    def twice(outcome: object) -> None:
+        answer(outcome)  # type: ignore[arg-type]
+        answer(outcome)  # type: ignore[arg-type]
 
-    hurt._answer = twice  # type: ignore[method-assign]
+    faulty_backend._answer = twice  # type: ignore[method-assign]
     fleet.play()
-    assert fleet.rules.breaks["twice"] > 0
+    assert fleet.rules.violations["twice"] > 0
 
 
-def test_the_same_seed_plays_the_same_fleet() -> None:
+def test_the_same_seed_gives_the_same_trace() -> None:
     def trace(seed: int) -> list[tuple[str, float, str | None]]:
         fleet = Fleet(SMALL, seed)
         fleet.play()
-        return [(t.ident, t.sent, t.answered.name if t.answered else None) for t in fleet.tries]
+        return [(t.exchange_id, t.sent_at, t.outcome.name if t.outcome else None) for t in fleet.tries]
 
     assert trace(3) == trace(3) != trace(4)
 
 
 def test_a_storm_that_does_not_end_without_the_estimate_ends_with_it() -> None:
-    """Three of five backends left, six tenths of the callers deaf: the state that its cause no longer holds
-    up."""
+    """Three of five backends remain and 60% of the callers ignore backpressure: a metastable overload that
+    persists after its cause has gone."""
     scene = Scene(backends=5, callers=15, deaf=0.6, killed=0.4, after_ms=20_000.0, timeout=4500.0, slo=1800.0)
     without, with_it = Fleet(replace(scene, repeats=None), 2), Fleet(scene, 2)
     without.play()
@@ -192,7 +194,7 @@
     off, on = figures(without), figures(with_it)
     assert off["recovery_s"] is None
     assert on["recovery_s"] is not None and on["recovery_s"] < 15.0
-    assert on["heeding"] > off["heeding"], "those that heed gain as well"
+    assert on["heeding"] > off["heeding"], "compliant callers get better service too"
     assert not any(on["rules"].values())
 
 
@@ -208,14 +210,16 @@
 
 
 @pytest.mark.parametrize("name", ["calm", "coach-party"])
-def test_no_false_alarm_without_repeats(name: str) -> None:
+def test_no_false_alarm_without_retries(name: str) -> None:
     one = play(name, 1, scene_of(name, quick=True))
     assert one.figures["false_alarm_s"] == 0.0
     assert not any(one.rules.values())
 
 
-def test_a_broken_rule_ends_play_with_1_and_its_first_case(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Rules, "answered", lambda self, one, *_: self._broken("twice", self.story(one)))
+def test_a_violated_rule_makes_play_exit_with_1_and_report_the_first(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        Rules, "record_answer", lambda self, one, *_: self._record_violation("twice", self.describe(one))
+    )
     result = CliRunner().invoke(main, ["play", "calm", "--quick"])
     assert result.exit_code == 1
     assert "twice: try" in result.stderr
