--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Cost of single parts, as ratios in one run."""
+"""Benchmarks of single parts of the program."""
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,5 +1,7 @@
-"""What a member of a calm fleet costs: bytes and messages it sends a second, and CPU of its decisions
-and packing, by the number of members. On the virtual clock, so sockets are not in it.
+"""Cost of a member in a fleet without faults, by number of members.
+
+Prints the bytes and messages it sends per second and the CPU time of its decisions and encoding. Runs on the
+virtual clock, so the cost of sockets is not included.
 
     python -m benchmarks.fleet_cost [MEMBERS ...]"""
 
@@ -10,21 +12,35 @@
 
 from rig.multi_node.ownership_experiment import Play, Scene
 
-LEASE, EVERY, LENGTH = 2000.0, 1000.0, 30_000.0  # ms: the usual figures of [fleet]
+LEASE_MS = 2000.0  # the default of [fleet]
+STEP_EVERY_MS = 1000.0  # the default of [fleet.duties.NAME]
+LENGTH_MS = 30_000.0
 
 
-def cost(members: int, watch: float) -> str:
-    scene = Scene(members=members, length=LENGTH, faults=False, lease=LEASE, step_every=EVERY, watch=watch)
+def cost(members: int, watch_ms: float) -> str:
+    """Runs one fleet and returns its cost as a line of text."""
+    scene = Scene(
+        members=members,
+        length=LENGTH_MS,
+        faults=False,
+        lease=LEASE_MS,
+        step_every=STEP_EVERY_MS,
+        watch=watch_ms,
+    )
     play = Play(1, scene)
     before = time.process_time()
     play.run()
     cpu = time.process_time() - before
-    seconds = LENGTH / 1000.0
-    sent = [play.world.sent.get(one.name, 0) / seconds for one in play.members]
-    votes = [b for one, b in zip(play.members, sent, strict=True) if one.name in play.plan.voters]
-    others = [b for one, b in zip(play.members, sent, strict=True) if one.name not in play.plan.voters]
+    seconds = LENGTH_MS / 1000.0
+    sent = [play.world.sent.get(member.name, 0) / seconds for member in play.members]
+    voters = [
+        rate for member, rate in zip(play.members, sent, strict=True) if member.name in play.plan.voters
+    ]
+    others = [
+        rate for member, rate in zip(play.members, sent, strict=True) if member.name not in play.plan.voters
+    ]
     return (
-        f"{members:4}  watch {watch:6.0f}  bytes/s voter {sum(votes) / len(votes):8.0f}  "
+        f"{members:4}  watch {watch_ms:6.0f}  bytes/s voter {sum(voters) / len(voters):8.0f}  "
         f"other {sum(others) / max(1, len(others)):7.0f}  "
         f"messages/s {play.world.messages / members / seconds:6.1f}  "
         f"CPU ms/s {1000.0 * cpu / members / seconds:5.2f}"
@@ -32,6 +48,6 @@
 
 
 if __name__ == "__main__":
-    for number in [int(word) for word in sys.argv[1:]] or [5, 20, 50]:
-        for watch in (0.0, 1000.0):
-            print(cost(number, watch), flush=True)
+    for member_count in [int(argument) for argument in sys.argv[1:]] or [5, 20, 50]:
+        for watch_ms in (0.0, 1000.0):
+            print(cost(member_count, watch_ms), flush=True)
--- a/benchmarks/register_flush.py
+++ b/benchmarks/register_flush.py
@@ -1,4 +1,4 @@
-"""What a change of a record costs a voter: answers with a flush, alone and several under one, and without.
+"""Cost of a record change for a voter: without a flush, with a flush each, and with several under one flush.
 
 .venv/bin/python -m benchmarks.register_flush [FOLDER]
 """
@@ -15,34 +15,44 @@
 from myrtlecrank.fleet.register.disk import Disk
 from myrtlecrank.fleet.register.messages import Accept, Ballot, Record
 
-ROUNDS, TOGETHER, KEYS = 300, 16, 20
+ROUNDS = 300
+GROUP_SIZE = 16
+KEYS = 20
+VALUE_BYTES = 100
 
 
-def measured(folder: str, flush: bool, together: int) -> tuple[float, float, float]:
-    """Votes a second, median and 99th percentile of a flush in ms."""
-    disk = Disk(folder, "bench", f"v{flush}{together}")
+def measured(folder: str, flush: bool, group_size: int) -> tuple[float, float, float]:
+    """Returns votes per second, and the median and 99th percentile of a flush in ms."""
+    disk = Disk(folder, "bench", f"v{flush}{group_size}")
     disk.found(["o", "p", "v"])
     voter = Voter("v", ["o", "p"], disk.load(), disk.keep if flush else lambda _: True)
     times = HdrHistogram(1, 60_000_000, 3)
-    begun = time.perf_counter()
-    for i in range(ROUNDS):
-        asked = [
-            Accept(f"key-{(i + j) % KEYS}", Ballot(i + 1, "p"), Record(i + 1, b"x" * 100, f"p:{i}"))
-            for j in range(together)
+    began = time.perf_counter()
+    for number in range(ROUNDS):
+        requests = [
+            Accept(
+                f"key-{(number + j) % KEYS}",
+                Ballot(number + 1, "p"),
+                Record(number + 1, b"x" * VALUE_BYTES, f"p:{number}"),
+            )
+            for j in range(group_size)
         ]
         start = time.perf_counter_ns()
-        voter.answers(asked)
+        voter.answers(requests)
         times.record_value(max(1, (time.perf_counter_ns() - start) // 1000))
-    rate = ROUNDS * together / (time.perf_counter() - begun)
+    rate = ROUNDS * group_size / (time.perf_counter() - began)
     return rate, times.get_value_at_percentile(50) / 1000.0, times.get_value_at_percentile(99) / 1000.0
 
 
 def main() -> None:
+    """Prints the cost of each way. The only argument is the folder of the voter's disk."""
     with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as folder:
-        for flush, together in ((False, 1), (True, 1), (True, TOGETHER)):
-            rate, half, most = measured(folder, flush, together)
-            how = f"{together} under one flush" if flush else "without a flush"
-            print(f"{how}: {rate:.0f} votes a second, {half:.2f} ms in the median, {most:.2f} ms at 99%")
+        for flush, group_size in ((False, 1), (True, 1), (True, GROUP_SIZE)):
+            rate, median_ms, p99_ms = measured(folder, flush, group_size)
+            how = f"{group_size} under one flush" if flush else "without a flush"
+            print(
+                f"{how}: {rate:.0f} votes a second, {median_ms:.2f} ms in the median, {p99_ms:.2f} ms at 99%"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/repeats.py
+++ b/benchmarks/repeats.py
@@ -1,10 +1,10 @@
-"""What the estimate of repeats costs: CPU an exchange through the module's actor, and memory, on over off.
+"""Cost of the retry estimator: CPU per exchange in the core's actor, and memory, with and without it.
 
 .venv/bin/python -m benchmarks.repeats
 
-Both sides run in this process, turn about, on the same exchanges; the agent and the callers are nothing. The
-ratio is of the actor alone, so it overstates what a serving process sees, where sockets and frames cost
-several times as much. Prints one JSON object."""
+Both sides run in this process, alternating, on the same exchanges, without agent and callers. The ratio is of
+the actor alone, so it overstates the cost in a serving process, where sockets and frames cost several times
+as much. Prints one JSON object."""
 
 from __future__ import annotations
 
@@ -23,28 +23,32 @@
 from myrtlecrank.retries.options import Bounds
 from rig.fleet import Scene
 
-ROUNDS, EXCHANGES, GAP_MS = 9, 4000, 85.0
+ROUNDS = 9
+EXCHANGES = 4000  # a round
+ARRIVAL_INTERVAL_MS = 85.0
+RETRY_SHARE = 0.3
 
 
 class Bench:
+    """A core that gets synthetic exchanges."""
+
     def __init__(self, bounds: Bounds | None) -> None:
         self.commands: list[Any] = []
         self.answers = 0
         facts = Scene().facts(1)
         self.core = Core(facts, 3200.0, self.commands.append, lambda _: None, now=0.0, repeats=bounds)
-        self.chance = random.Random(1)
+        self.random = random.Random(1)
         self.now, self.count = 0.0, 0
         self.core.process_batch([Greeted(False, 60_000.0)], 0.0)
 
     def _answer(self, _: Answer) -> None:
         self.answers += 1
 
-    def _one(self) -> None:
-        self.now += GAP_MS
+    def _run_exchange(self) -> None:
+        self.now += ARRIVAL_INTERVAL_MS
         self.count += 1
-        chance = self.chance
-        repeat = chance.random() < 0.3
-        wait = chance.uniform(200.0, 2400.0) if repeat else 1000.0
+        is_retry = self.random.random() < RETRY_SHARE
+        wait = self.random.uniform(200.0, 2400.0) if is_retry else 1000.0
         ident = f"{self.count:016x}"
         body = (b"subject %d " % self.count) * 60
         ticket = Ticket(
@@ -70,15 +74,18 @@
         self.commands.clear()
 
     def round(self) -> float:
-        """CPU ms an exchange."""
+        """Runs EXCHANGES exchanges and returns the CPU ms per exchange."""
         began = time.process_time()
         for _ in range(EXCHANGES):
-            self._one()
+            self._run_exchange()
         return (time.process_time() - began) * 1000.0 / EXCHANGES
 
 
 def memory(bounds: Bounds | None) -> float:
-    """MB held after a round, without what is outside of Python's own memory."""
+    """Returns the MB in use after a round: Python's own memory and the digests of uncompleted exchanges.
+
+    Other native memory is not counted.
+    """
     tracemalloc.start()
     bench = Bench(bounds)
     bench.round()
@@ -89,11 +96,12 @@
 
 
 def main() -> dict[str, float]:
+    """Returns the costs by name."""
     logger.remove()
     sides = {"on": Bench(Bounds()), "off": Bench(None)}
     costs: dict[str, list[float]] = {"on": [], "off": []}
     for bench in sides.values():
-        bench.round()  # warm
+        bench.round()  # warm-up
     for _ in range(ROUNDS):
         for side, bench in sides.items():
             costs[side].append(bench.round())
--- a/rig/processes/__init__.py
+++ b/rig/processes/__init__.py
@@ -1,1 +1,1 @@
-"""The same stand-ins around real processes, on loopback and in real time."""
+"""The rig's stand-ins around real processes, on loopback and in real time."""
--- a/rig/processes/backend_process.py
+++ b/rig/processes/backend_process.py
@@ -1,5 +1,4 @@
-"""One real backend: a `myrtlecrank serve` process with its agent, its entry on the list and its callers
-played."""
+"""One real backend: a `myrtlecrank serve` process with stand-ins for its agent and its callers."""
 
 from __future__ import annotations
 
@@ -9,6 +8,7 @@
 import subprocess
 import sys
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from typing import IO, Any
 
@@ -25,15 +25,21 @@
 from rig.rules import Rules
 
 ROOT = Path(__file__).parent.parent.parent
-SAID = {0: TryOutcome.COMPLETED, 1: TryOutcome.DENIED, 2: TryOutcome.TERMINATED}
-OPEN = 32  # exchanges that one connection carries at a time
-LOOK_S = 0.02
-UP_S = 30.0  # a process that does not listen by then is given up
+OUTCOME_OF_CODE = {0: TryOutcome.COMPLETED, 1: TryOutcome.DENIED, 2: TryOutcome.TERMINATED}
+TRIES_PER_CONNECTION = 32  # a caller opens a further connection above this
+POLL_INTERVAL_S = 0.02
+USAGE_INTERVAL_S = 0.2
+CONNECT_TIMEOUT_S = 2.0
+READ_BYTES = 65536
+START_TIMEOUT_S = 30.0
 GAUGES = ("core_use", "on_cores", "heap_share", "links")
 
 
 def free_address(number: int) -> tuple[str, int]:
-    """On a loopback address of our own, which no outgoing connection takes its port from meanwhile."""
+    """Returns a loopback address for this process alone, with a free port.
+
+    No outgoing connection can take the port there before the backend listens on it.
+    """
     pid = os.getpid()
     host = f"127.{64 + pid % 64}.{pid // 64 % 250}.{number % 250 + 1}"
     with socket.socket() as probe:
@@ -42,7 +48,7 @@
 
 
 def settings(facts: interface.StartFacts) -> dict[str, Any]:
-    """StartFacts as the platform's configuration would say them; times in microseconds."""
+    """Returns the StartFacts as settings of the configuration file; times in microseconds."""
 
     def us(ms: float) -> int:
         return round(ms * 1000.0)
@@ -89,27 +95,28 @@
     }
 
 
-class Link:
-    """One connection of a caller; its writer and its reader are greenlets of their own."""
+class CallerConnection:
+    """One connection of a caller, with a writer and a reader greenlet."""
 
-    def __init__(self, process: Process) -> None:
+    def __init__(self, process: BackendProcess) -> None:
         self.process = process
-        self.open: dict[int, Try] = {}
+        self.open_tries: dict[int, Try] = {}
         self.stream = 0
-        self.shut = False
+        self.is_closing = False
         self.queue: Queue[tuple[Try, bytes] | None] = Queue()
         gevent.spawn(self._run)
 
-    def ask(self, one: Try, fields: dict[str, str]) -> None:
+    def send(self, one: Try, fields: dict[str, str]) -> None:
+        """Queues the frame of a try."""
         self.stream += 1
-        self.open[self.stream] = one
+        self.open_tries[self.stream] = one
         self.queue.put(
-            (one, caller_protocol.frame(caller_protocol.ASK, self.stream, fields, one.request.body))
+            (one, caller_protocol.frame(caller_protocol.EXCHANGE, self.stream, fields, one.request.body))
         )
 
     def _run(self) -> None:
         try:
-            sock = socket.create_connection(self.process.listen, timeout=2.0)
+            sock = socket.create_connection(self.process.listen, timeout=CONNECT_TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.settimeout(None)
         except OSError:
@@ -127,43 +134,47 @@
         sock.close()
 
     def _read(self, sock: socket.socket) -> None:
-        frames = caller_protocol.Reader()
+        frames = caller_protocol.FrameReader()
         try:
-            while data := sock.recv(65536):
+            while data := sock.recv(READ_BYTES):
                 for kind, stream, code, fields, _ in frames.feed(data):
-                    if kind == caller_protocol.AWAY:
-                        self.shut = True
+                    if kind == caller_protocol.DRAIN:
+                        self.is_closing = True
                     elif kind == caller_protocol.ANSWER:
                         self._answered(stream, code, fields)
-                if self.shut and not self.open:
+                if self.is_closing and not self.open_tries:
                     break
         except OSError:
             pass
         self._ended(sent=True)
 
     def _answered(self, stream: int, code: int, fields: dict[str, str]) -> None:
-        one = self.open.pop(stream, None)
+        one = self.open_tries.pop(stream, None)
         if one is None:
             self.process.rules.record_unexpected_answer(self.process.number, stream, self.process.clock.now)
             return
         value = float(fields["v"]) if "v" in fields else None
         self.process.deliver_answer(
-            one, SAID[code], value, float(fields.get("w", 0.0)), fields.get("l") == "1"
+            one, OUTCOME_OF_CODE[code], value, float(fields.get("w", 0.0)), fields.get("l") == "1"
         )
 
     def _ended(self, sent: bool) -> None:
-        """Whatever is open breaks with the connection; what no byte was written for is merely closed."""
-        self.shut = True
-        self.process.links_ended(self)
+        """Ends the open tries: as lost with the connection, or as never connected where nothing was sent."""
+        self.is_closing = True
+        self.process.remove_connection(self)
         self.queue.put(None)
-        for one in list(self.open.values()):
-            taken = sent and one.read_at is not None
+        for one in list(self.open_tries.values()):
+            was_sent = sent and one.read_at is not None
             if one.outcome is None:
-                self.process.broken(one, TryOutcome.CONNECTION_LOST if taken else TryOutcome.NOT_CONNECTED)
-        self.open.clear()
+                self.process.lose_try(
+                    one, TryOutcome.CONNECTION_LOST if was_sent else TryOutcome.NOT_CONNECTED
+                )
+        self.open_tries.clear()
+
 
+class BackendProcess(BackendStandIn):
+    """Starts the process and plays its agent and its callers over sockets."""
 
-class Process(BackendStandIn):
     def __init__(
         self,
         number: int,
@@ -181,16 +192,16 @@
         operators: Path,
     ) -> None:
         super().__init__(number, clock, build, rules, cold, stop_ms, report_membership, on_read)
-        self.real, self.listen, self.facts = clock, listen, facts
-        self.links: dict[int, list[Link]] = {}
-        self.notices = [b""]  # numbered from 1
-        self.link: socket.socket | None = None
+        self.real_clock, self.listen, self.facts = clock, listen, facts
+        self.connections: dict[int, list[CallerConnection]] = {}
+        self.run_notices = [b""]  # outcome lines by number, from 1
+        self.agent_connection: socket.socket | None = None
         self.cpu_s = self.peak_mb = 0.0
         self.agent = socket.socket()
         self.agent.bind(("127.0.0.1", 0))
         self.agent.listen()
         gevent.spawn(self._serve_agent)
-        conf = {
+        configuration = {
             "name": f"b{number}",
             "listen": f"{listen[0]}:{listen[1]}",
             "members": members,
@@ -201,35 +212,38 @@
             "settings": settings(facts),
         }
         path = folder / f"b{number}-{facts.seed}.json"
-        path.write_text(json.dumps(conf))
+        path.write_text(json.dumps(configuration))
         self.log: IO[bytes] = (folder / f"b{number}.log").open("ab")
         command = [sys.executable, "-m", "myrtlecrank", "serve", str(path), "--operators", str(operators)]
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
         self.process = subprocess.Popen(command, cwd=folder, stderr=self.log, env=environment)
-        gevent.spawn(self._watch)
-
-    def wait_up(self) -> None:
-        """Until it listens; raises TimeoutError."""
-        with gevent.Timeout(UP_S, TimeoutError(f"backend {self.number} does not listen")):
+        gevent.spawn(self._monitor_process)
+
+    def wait_until_listening(self) -> None:
+        """Waits until the process listens; raises TimeoutError."""
+        with gevent.Timeout(
+            START_TIMEOUT_S,
+            TimeoutError(f"backend {self.number} does not listen within {START_TIMEOUT_S:.0f} s"),
+        ):
             while True:
                 try:
                     socket.create_connection(self.listen, timeout=1.0).close()
                     return
                 except OSError:
-                    gevent.sleep(LOOK_S)
+                    gevent.sleep(POLL_INTERVAL_S)
 
-    def _watch(self) -> None:
-        """Follows the process to its end, and what it uses."""
+    def _monitor_process(self) -> None:
+        """Samples the CPU and memory of the process until it ends, then records the end."""
         while self.process.poll() is None:
-            self._usage()
-            gevent.sleep(LOOK_S if self.drain_requested_at is not None else 0.2)
+            self._sample_usage()
+            gevent.sleep(POLL_INTERVAL_S if self.drain_requested_at is not None else USAGE_INTERVAL_S)
         self.log.close()
         self.agent.close()
         if self.alive and self.drain_requested_at is None:
             self.rules.record_collapse(self.number, self.clock.now)
         self.stop()
 
-    def _usage(self) -> None:
+    def _sample_usage(self) -> None:
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
             self.cpu_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -245,32 +259,40 @@
         return self.process.poll() is None
 
     def submit(self, one: Try) -> None:
-        links = self.links.setdefault(one.caller.number, [])
-        link = next((link for link in links if not link.shut and len(link.open) < OPEN), None)
-        if link is None:
-            link = Link(self)
-            links.append(link)
+        connections = self.connections.setdefault(one.caller.number, [])
+        connection = next(
+            (
+                connection
+                for connection in connections
+                if not connection.is_closing and len(connection.open_tries) < TRIES_PER_CONNECTION
+            ),
+            None,
+        )
+        if connection is None:
+            connection = CallerConnection(self)
+            connections.append(connection)
         request = one.request
         wait = request.deadline - request.created_at if one.caller.behaviour.told_whole else one.timeout
         fields = {
             "c": self.facts.groups[request.group].name,
             "i": one.exchange_id,
-            "s": f"{self.real.began_at + one.arrived_at:.0f}",  # type: ignore[operator]
+            "s": f"{self.real_clock.began_at + one.arrived_at:.0f}",  # type: ignore[operator]
             "f": str(one.caller.number),
             "t": f"tenant-{request.tenant}",
             "d": f"{wait:.0f}",
             "m": f"{request.memory_kb:.1f}",
             "p": f"{request.rank:.4f}",
         }
-        link.ask(one, fields)
+        connection.send(one, fields)
 
-    def links_ended(self, link: Link) -> None:
-        for links in self.links.values():
-            if link in links:
-                links.remove(link)
+    def remove_connection(self, connection: CallerConnection) -> None:
+        """Forgets a connection that has ended."""
+        for connections in self.connections.values():
+            if connection in connections:
+                connections.remove(connection)
 
-    def broken(self, one: Try, outcome: TryOutcome) -> None:
-        """Its connection is gone. A backend that is well may not do that to what it has read."""
+    def lose_try(self, one: Try, outcome: TryOutcome) -> None:
+        """Ends a try whose connection is gone. That violates a rule if a running backend had read the try."""
         if outcome is TryOutcome.CONNECTION_LOST and self.alive and self.drain_requested_at is None:
             self.rules.record_dropped_connection(one, self.clock.now)
         self.rules.record_lost_try(one)
@@ -282,49 +304,49 @@
     def _serve_agent(self) -> None:
         while True:
             try:
-                link, _ = self.agent.accept()
+                connection, _ = self.agent.accept()
             except OSError:
                 return
-            self.link = link
-            gevent.spawn(self._commands, link)
+            self.agent_connection = connection
+            gevent.spawn(self._commands, connection)
 
-    def _commands(self, link: socket.socket) -> None:
-        file = link.makefile("rb")
+    def _commands(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
         try:
             while line := file.readline():
                 match line.decode().split():
                     case ["subscribe", number]:
                         state = "EMPTY" if self.machine.cold else "LOADED"
-                        link.sendall(
+                        connection.sendall(
                             f"greeting {state} {self.clock.now - self.machine.started_at:.0f}\r\n".encode()
                         )
-                        link.sendall(b"".join(self.notices[int(number) + 1 :]))
-                    case ["launch", ident, _, length]:
+                        connection.sendall(b"".join(self.run_notices[int(number) + 1 :]))
+                    case ["launch", exchange_id, _, length]:
                         file.read(int(length) + 2)
-                        self.clock.call_later(0.0, lambda ident=ident: self.start_run(ident))  # type: ignore[misc]
-                    case ["freeze", ident]:
-                        self.clock.call_later(0.0, lambda ident=ident: self.cancel_run(ident))  # type: ignore[misc]
+                        self.clock.call_later(0.0, partial(self.start_run, exchange_id))
+                    case ["freeze", exchange_id]:
+                        self.clock.call_later(0.0, partial(self.cancel_run, exchange_id))
                     case ["sample", tag]:
                         g = self.machine.gauges()
                         values = (
                             f"{g['cpu']:.4f} {g['on_cores']:.2f} {g['memory']:.4f} {g['connections']:.0f}"
                         )
-                        link.sendall(f"sampled {tag} {values}\r\n".encode())
+                        connection.sendall(f"sampled {tag} {values}\r\n".encode())
         except OSError:
             pass
 
-    def report_run_end(self, ident: str, end: str, took: float) -> None:
-        number = len(self.notices)
+    def report_run_end(self, exchange_id: str, end: str, duration_ms: float) -> None:
+        number = len(self.run_notices)
         result = b"result" if end == "PASS" else b""
-        head = f"outcome {number} {ident} {end} {took:.3f} {len(result)}\r\n"
-        self.notices.append(head.encode() + result + b"\r\n")
-        if self.link is not None:
+        head = f"outcome {number} {exchange_id} {end} {duration_ms:.3f} {len(result)}\r\n"
+        self.run_notices.append(head.encode() + result + b"\r\n")
+        if self.agent_connection is not None:
             try:
-                self.link.sendall(self.notices[-1])
+                self.agent_connection.sendall(self.run_notices[-1])
             except OSError:
-                self.link = None
+                self.agent_connection = None
 
-    # Its end
+    # End of the backend
 
     def request_drain(self) -> None:
         if self.alive and self.drain_requested_at is None:
--- a/rig/processes/ownership_experiment.py
+++ b/rig/processes/ownership_experiment.py
@@ -1,5 +1,8 @@
-"""The experiment fleet-owner with real processes: `myrtlecrank serve` between stand-ins, a proxy on each
-link, signals and restarts drawn from the seed, and the resource that judges from outside."""
+"""The experiment fleet-owner with real processes.
+
+It runs `myrtlecrank serve` between stand-ins, with a fault proxy on each link. Signals, restarts and link
+faults are drawn from the seed; the resource checks ownership from outside.
+"""
 
 from __future__ import annotations
 
@@ -28,6 +31,14 @@
 
 LEASE_MS = 1000.0
 STEP_MS = 100.0
+QUIET_END_MS = 7000.0  # without new faults, so that owners can be seen to come back
+STUCK_AFTER_MS = 3000.0  # a duty without a step for this long at the end is stuck
+SAMPLING_INTERVAL_S = 0.025
+POLL_INTERVAL_S = 0.02
+READ_BYTES = 4096
+# A takeover needs this once a majority is reachable: the wait for the lease, and two checks.
+TAKEOVER_MS = 1.52 * LEASE_MS
+# Faults to draw from; those listed twice are twice as likely.
 FAULTS = (
     "kill",
     "kill",
@@ -54,20 +65,19 @@
 }
 
 
-class Stands:
-    """What every backend wants around it: an agent that greets, a list that is silent, the resource of the
-    duties."""
+class StandIns:
+    """Stand-ins that all backends share: agent, membership list that never answers, the duties' resource."""
 
     def __init__(self, fence: bool) -> None:
         self.resource = Resource(fence)
-        self.begin = time.monotonic()
-        self.agent = self._listen(self._greet)
-        self.roll = self._listen(self._silent)
-        self.sink = self._listen(self._take)
+        self.began_at = time.monotonic()
+        self.agent_address = self._listen(self._serve_agent)
+        self.membership_list_address = self._listen(self._serve_membership_list)
+        self.resource_address = self._listen(self._serve_resource)
         self.connections: list[socket.socket] = []
 
     def now(self) -> float:
-        return (time.monotonic() - self.begin) * 1000.0
+        return (time.monotonic() - self.began_at) * 1000.0
 
     def _listen(self, serve: Any) -> tuple[str, int]:
         listener = socket.socket()
@@ -78,14 +88,14 @@
             while True:
                 sock, _ = listener.accept()
                 self.connections.append(sock)
-                gevent.spawn(self._served, serve, sock)
+                gevent.spawn(self._run_handler, serve, sock)
 
         gevent.spawn(run)
         address: tuple[str, int] = listener.getsockname()
         return address
 
     @staticmethod
-    def _served(serve: Any, sock: socket.socket) -> None:
+    def _run_handler(serve: Any, sock: socket.socket) -> None:
         try:
             serve(sock)
         except (OSError, ValueError, KeyError):
@@ -94,8 +104,8 @@
             sock.close()
 
     @staticmethod
-    def _greet(sock: socket.socket) -> None:
-        """A machine that is up for long, warm and idle."""
+    def _serve_agent(sock: socket.socket) -> None:
+        """Answers as the agent of a warm, idle machine that has been up for long."""
         file = sock.makefile("rb")
         while line := file.readline():
             match line.decode().split():
@@ -105,46 +115,49 @@
                     sock.sendall(f"sampled {tag} 0.01 0 0.1 1\r\n".encode())
 
     @staticmethod
-    def _silent(sock: socket.socket) -> None:
-        while sock.recv(4096):
+    def _serve_membership_list(sock: socket.socket) -> None:
+        while sock.recv(READ_BYTES):
             pass
 
-    def _take(self, sock: socket.socket) -> None:
-        """A line each way. Judged in the order in which the lines come off the sockets."""
+    def _serve_resource(self, sock: socket.socket) -> None:
+        """Answers each step line with whether the resource takes the step.
+
+        The steps are checked in the order in which they are read from the sockets.
+        """
         buffer = b""
-        while data := sock.recv(4096):
+        while data := sock.recv(READ_BYTES):
             buffer += data
             while b"\n" in buffer:
                 line, buffer = buffer.split(b"\n", 1)
-                told = orjson.loads(line)
-                effect = Effect(told["duty"], told["epoch"], told["step"], 0.0)
-                taken = self.resource.offered(self.now(), told["owner"], effect)
+                step = orjson.loads(line)
+                effect = Effect(step["duty"], step["epoch"], step["step"], 0.0)
+                taken = self.resource.offered(self.now(), step["owner"], effect)
                 sock.sendall(b'{"taken":true}\n' if taken else b'{"taken":false}\n')
 
 
 class Backend:
-    """One real process of the program, a member of the fleet."""
+    """One process of the program, which is a member of the fleet."""
 
-    def __init__(self, name: str, folder: Path, stands: Stands, operators: str, seed: int) -> None:
+    def __init__(self, name: str, folder: Path, stand_ins: StandIns, operators: str, seed: int) -> None:
         self.name, self.folder = name, folder
         self.process: subprocess.Popen[bytes] | None = None
         listen = free_address(seed + int(name[1:]))
-        conf = {
+        configuration = {
             "name": name,
             "listen": f"{listen[0]}:{listen[1]}",
-            "agent": ":".join(map(str, stands.agent)),
-            "members": ":".join(map(str, stands.roll)),
+            "agent": ":".join(map(str, stand_ins.agent_address)),
+            "members": ":".join(map(str, stand_ins.membership_list_address)),
             "seed": f"{seed:016x}",
             "stop_ms": 800,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": SETTINGS,
         }
         self.config, self.operators = folder / f"{name}.json", folder / f"{name}.toml"
-        self.config.write_text(json.dumps(conf))
+        self.config.write_text(json.dumps(configuration))
         self.operators.write_text(operators)
-        self.wall = folder / f"{name}.wall"  # by how many seconds its wall clock is off
-        self.wall_leases = False  # a planted bug
-        self.log = open(folder / f"{name}.log", "ab")  # noqa: SIM115 - open as long as the play
+        self.wall = folder / f"{name}.wall"  # offset of its wall clock in seconds
+        self.wall_leases = False  # an injected fault
+        self.log = open(folder / f"{name}.log", "ab")  # noqa: SIM115 - open for the whole run
 
     def command(self, *words: str) -> list[str]:
         return [sys.executable, "-m", "myrtlecrank", *words, "--operators", str(self.operators)]
@@ -174,8 +187,11 @@
 
 
 class RealPlay:
-    """`trusted`: voters vote at once after a restart, as their folder lasts here; else they ask all others
-    first."""
+    """A fleet of processes under faults.
+
+    `trusted`: voters vote at once after a restart, as their folder is durable here; otherwise they ask all
+    others first.
+    """
 
     def __init__(
         self,
@@ -187,35 +203,39 @@
         folder: Path,
         trusted: bool = False,
     ) -> None:
-        self.trusted = trusted
+        self.trusts_disk = trusted
         self.seed, self.random, self.folder = seed, Random(seed), folder
-        self.stands = Stands(fence)
+        self.stands = StandIns(fence)
         names = [f"n{i}" for i in range(members)]
         self.voters = names[:voters]
         self.homes = homes = {name: free_address(seed % 1000 + 40 + i) for i, name in enumerate(names)}
-        # Of a pair the one whose name comes first connects, through the proxy of that pair.
+        # In each pair the member whose name comes first connects, through the proxy of the pair.
         self.links = {(a, b): Proxy(homes[b]) for a in names for b in names if a < b}
-        self.sinks = {name: Proxy(self.stands.sink) for name in names}  # each one's way to the resource
+        # Each member's link to the resource.
+        self.sinks = {name: Proxy(self.stands.resource_address) for name in names}
         self.duties = [f"duty-{i}" for i in range(duties)]
         self.backends = {
             name: Backend(name, folder, self.stands, self._operators(name, names, homes), seed)
             for name in names
         }
         self.script: list[tuple[float, str, str, float]] = []
-        self.stopped: set[str] = set()
-        self.rosters = [set(self.voters)]  # a majority of each is wanted
+        self.suspended: set[str] = set()
+        self.voter_sets = [set(self.voters)]  # a majority of each is needed
         self.voters_changed = 0
-        self.away = Away(1.52 * LEASE_MS)  # the wait of the others, and two looks
+        self.is_replacing = False
+        # One loss a run: a second could come before the first voter has rejoined.
+        self.disk_was_lost = False
+        self.unavailability = Away(TAKEOVER_MS)
 
     def _operators(self, me: str, names: list[str], homes: dict[str, tuple[str, int]]) -> str:
-        """Each member's own view of the addresses: its peers behind their proxies."""
+        """Returns the operators' file of a member, with the proxies as its peers' addresses."""
         lines = [
             "[fleet]",
             "on = true",
             'name = "rig"',
             f"folder = {json.dumps(str(self.folder))}",
             f"voters = {json.dumps(self.voters)}",
-            f"trust_disk = {json.dumps(self.trusted)}",
+            f"trust_disk = {json.dumps(self.trusts_disk)}",
             f"lease_ms = {LEASE_MS:g}",
             "reply_ms = 200",
             "probe_ms = 300",
@@ -232,13 +252,14 @@
             lines += [f"[fleet.duties.{duty}]", f'to = "{sink[0]}:{sink[1]}"', f"every_ms = {STEP_MS:g}"]
         return "\n".join(lines) + "\n"
 
-    # -- faults
+    # Faults
 
     def links_of(self, name: str) -> list[tuple[Proxy, bool]]:
-        """Each with whether this member is the one that connects."""
+        """Returns the links of a member, each with whether this member is the one that connects."""
         return [(link, pair[0] == name) for pair, link in self.links.items() if name in pair]
 
     def fault(self) -> None:
+        """Injects one random fault."""
         kind = self.random.choice(FAULTS)
         backend = self.random.choice(list(self.backends.values()))
         seconds = self.random.uniform(0.3, 3.0) * LEASE_MS / 1000.0
@@ -247,9 +268,9 @@
         delay = self.random.uniform(0.05, 1.5) * LEASE_MS / 1000.0
         self.script.append((round(self.stands.now(), 1), kind, backend.name, round(seconds * 1000.0, 1)))
         if kind in ("kill", "term", "lost-disk"):
-            gevent.spawn(self._away, backend, kind, seconds)
+            gevent.spawn(self._take_down, backend, kind, seconds)
         elif kind == "stop":
-            gevent.spawn(self._stop, backend, seconds)
+            gevent.spawn(self._suspend, backend, seconds)
         elif kind == "clock":
             backend.wall.write_text(str(self.random.choice([-3600, 3600])))
         elif kind == "replace":
@@ -271,101 +292,104 @@
                 for i in range(6):
                     gevent.spawn_later(0.3 * i, link.cut, 0.15)
 
-    def _stop(self, backend: Backend, seconds: float) -> None:
+    def _suspend(self, backend: Backend, seconds: float) -> None:
         backend.signal(signal.SIGSTOP)
-        self.stopped.add(backend.name)
+        self.suspended.add(backend.name)
         gevent.sleep(seconds)
         backend.signal(signal.SIGCONT)
-        self.stopped.discard(backend.name)
+        self.suspended.discard(backend.name)
 
     def _replace(self, at: str, drop: str, add: str) -> None:
-        """By an operator, one at a time. Until one comes through, what the last left behind may be
-        half-way."""
-        if self.replacing:
+        """Replaces a voter as an operator does, one change at a time.
+
+        Until the next change succeeds, a failed one may be half done.
+        """
+        if self.is_replacing:
             return
-        self.replacing = True
+        self.is_replacing = True
         new = [name for name in self.voters if name != drop or name == add]
         new += [add] if add not in new else []
-        before, self.rosters = self.rosters, [*self.rosters, set(new)]
+        before, self.voter_sets = self.voter_sets, [*self.voter_sets, set(new)]
         done = self.told("replace-voters", "--drop", drop, "--add", add, "--at", at)
         asked = self.told("voters", "--json", "--at", at) if done.returncode == 0 else done
-        self.replacing = False
+        self.is_replacing = False
         if asked.returncode == 0:
             self.voters = [row["voter"] for row in json.loads(asked.stdout) if row["state"] == "votes"]
-            self.rosters = [set(self.voters)]
+            self.voter_sets = [set(self.voters)]
             self.voters_changed += 1
         elif "votes already" in done.stderr or "takes no seat" in done.stderr:
-            self.rosters = before  # nothing was begun
+            self.voter_sets = before  # the change was refused
 
-    def look_around(self) -> None:
-        """From outside: which processes run, and between which of them a connection stands that lets through
-        within a round."""
+    def sample_reachability(self) -> None:
+        """Samples from outside whether a running member reaches a majority of voters over links that work."""
         while True:
-            self.away.look(self.stands.now(), any(self._reaches(name) for name in self.backends))
-            gevent.sleep(0.025)
+            self.unavailability.look(
+                self.stands.now(), any(self._reaches_majorities(name) for name in self.backends)
+            )
+            gevent.sleep(SAMPLING_INTERVAL_S)
 
-    def _reaches(self, name: str) -> bool:
-        if not self._runs(name):
+    def _reaches_majorities(self, name: str) -> bool:
+        if not self._is_running(name):
             return False
-        there = {
+        reachable = {
             other
             for other in self.backends
-            if self._runs(other) and (other == name or self.links[min(name, other), max(name, other)].open())
+            if self._is_running(other)
+            and (other == name or self.links[min(name, other), max(name, other)].open())
         }
-        return all(len(there & voters) > len(voters) // 2 for voters in self.rosters)
+        return all(len(reachable & voters) > len(voters) // 2 for voters in self.voter_sets)
 
-    def _runs(self, name: str) -> bool:
+    def _is_running(self, name: str) -> bool:
         process = self.backends[name].process
-        return process is not None and process.poll() is None and name not in self.stopped
+        return process is not None and process.poll() is None and name not in self.suspended
 
     def apart(self, side: set[str], seconds: float) -> None:
-        """Nothing comes through between these members and the others; connections are kept."""
+        """Holds back all bytes between these members and the others; connections are kept."""
         for (a, b), link in self.links.items():
             if (a in side) != (b in side):
                 link.freeze(seconds)
 
     def deaf(self, name: str, seconds: float, hears: bool) -> None:
-        """One way: it hears the others and none hears it, or the other way round."""
+        """Freezes one direction: the member receives from the others but reaches none, or the reverse."""
         for link, connects in self.links_of(name):
             link.freeze(seconds, out=connects == hears, back=connects != hears)
 
-    def _away(self, backend: Backend, kind: str, seconds: float) -> None:
+    def _take_down(self, backend: Backend, kind: str, seconds: float) -> None:
         if kind == "term":
             backend.signal(signal.SIGTERM)
             gevent.sleep(1.0)
         backend.end()
-        # One memory lost at a time: what two have lost together nobody can know.
+        # One disk at a time: what two voters have lost together cannot be recovered.
         alone = all(b.process is not None for b in self.backends.values() if b is not backend)
-        if kind == "lost-disk" and backend.name in self.voters and alone and not self.lost:
-            self.lost = True
+        if kind == "lost-disk" and backend.name in self.voters and alone and not self.disk_was_lost:
+            self.disk_was_lost = True
             (self.folder / f"voter-{backend.name}.state").unlink(missing_ok=True)
         gevent.sleep(seconds)
         backend.start()
 
     def told(self, *words: str, by: str = "n0") -> subprocess.CompletedProcess[str]:
-        """What `myrtlecrank fleet ...` says with one member's file, without holding the rig's own loop."""
+        """Runs `myrtlecrank fleet ...` with one member's file, without blocking the event loop."""
         command = self.backends[by].command("fleet", *words)
         found: Any = gevent.get_hub().threadpool.apply(
             subprocess.run, (command,), {"cwd": str(ROOT), "capture_output": True, "text": True}
         )
         return found  # type: ignore[no-any-return]
 
-    replacing = False
-    lost = False  # once a play: the next could come before the first has rejoined
-
-    # -- the play
+    # The run
 
     def begin(self) -> None:
-        """All up, each voter votes and each duty has an owner; raises gevent.Timeout."""
+        """Starts all members and waits until each voter votes and each duty has an owner.
+
+        Raises gevent.Timeout.
+        """
         for name in self.voters:
             self.backends[name].found()
         for backend in self.backends.values():
             backend.start()
         self.wait(lambda: len(self.stands.resource.last) == len(self.duties))
-        if self.trusted:
+        if self.trusts_disk:
             return
-        # A voter that comes up asks all others: one that is gone before the last has its answer holds that
-        # one back.
+        # A starting voter asks all others: if one ends before the last has its answer, the last must wait.
         logs = [self.folder / f"{name}.log" for name in self.voters]
         self.wait(lambda: all("votes again" in log.read_text() for log in logs))
 
@@ -373,13 +397,14 @@
     def wait(true: Callable[[], bool], seconds: float = 20.0) -> None:
         with gevent.Timeout(seconds):
             while not true():
-                gevent.sleep(0.02)
+                gevent.sleep(POLL_INTERVAL_S)
 
     def owner(self, duty: str) -> str:
-        """Whose effect was taken last, as the resource saw it."""
+        """Returns the owner whose step the resource took last."""
         return next(t.owner for t in reversed(self.stands.resource.taken) if t.duty == duty).split("/")[0]
 
     def finish(self) -> None:
+        """Kills all processes and closes the links."""
         for backend in self.backends.values():
             backend.signal(signal.SIGCONT)
             backend.end()
@@ -388,27 +413,28 @@
             link.close()
 
     def run(self, seconds: float, every: float) -> Played:
-        resource, stands = self.stands.resource, self.stands
+        """Runs the experiment and returns its figures."""
+        resource, stand_ins = self.stands.resource, self.stands
         try:
             self.begin()
-            began = stands.now()
-            looks = gevent.spawn(self.look_around)
-            last_fault = began + seconds * 1000.0 - 7000.0
-            while stands.now() < began + seconds * 1000.0:
-                if every and stands.now() < last_fault:
+            began = stand_ins.now()
+            sampler = gevent.spawn(self.sample_reachability)
+            last_fault = began + seconds * 1000.0 - QUIET_END_MS
+            while stand_ins.now() < began + seconds * 1000.0:
+                if every and stand_ins.now() < last_fault:
                     self.fault()
                     gevent.sleep(self.random.expovariate(1.0 / every))
                 else:
                     gevent.sleep(0.2)
-            looks.kill()
+            sampler.kill()
         finally:
             self.finish()
-        end = stands.now()
-        usual = 4.0 * STEP_MS
+        end = stand_ins.now()
+        usual_gap_ms = 4.0 * STEP_MS
         gaps = resource.gaps(began, end, self.duties)
-        unowned = sum(max(0.0, self.away.outside(a, b) - usual) for a, b in gaps)
+        unowned = sum(max(0.0, self.unavailability.outside(a, b) - usual_gap_ms) for a, b in gaps)
         changes = [
-            self.away.outside(a.at, b.at)
+            self.unavailability.outside(a.at, b.at)
             for duty in self.duties
             for a, b in pairwise([t for t in resource.taken if t.duty == duty])
             if a.owner != b.owner
@@ -419,10 +445,11 @@
             "takeover_s": round(changes[int(0.95 * (len(changes) - 1))] / 1000.0, 3) if changes else 0.0,
             "unowned_share": round(unowned / ((end - began) * len(self.duties)), 4),
             "owner_changes": len(changes),
-            "majority_away_share": round(self.away.total() / (end - began), 4),
+            "majority_away_share": round(self.unavailability.total() / (end - began), 4),
             "voters_changed": self.voters_changed,
             "stuck": sum(
-                end - max(t.at for t in resource.taken if t.duty == one) > 3000.0 for one in self.duties
+                end - max(t.at for t in resource.taken if t.duty == one) > STUCK_AFTER_MS
+                for one in self.duties
             ),
             "faults": len(self.script),
             "link_bytes_a_member_a_second": round(
@@ -448,10 +475,12 @@
     trusted: bool = True,
     wall_leases: bool = False,
 ) -> Played:
-    """Real processes in real time. `every`: seconds between faults in the mean, 0 for none. `keep`: a folder
-    for logs."""
-    with tempfile.TemporaryDirectory() as usual:
-        folder = keep or Path(usual)
+    """Runs the experiment in real time.
+
+    `every`: mean seconds between faults, 0 for none. `keep`: folder for the logs.
+    """
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = keep or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         one = RealPlay(seed, members, voters, duties, fence, folder, trusted)
         for backend in one.backends.values():
--- a/rig/processes/proxy.py
+++ b/rig/processes/proxy.py
@@ -1,5 +1,4 @@
-"""A fault proxy on each link between members: cut one way or both, delay, rate, freeze, drop. Loopback
-only."""
+"""TCP proxy on loopback that injects faults on a link between two members: cut, freeze, delay, rate limit."""
 
 from __future__ import annotations
 
@@ -8,48 +7,52 @@
 import gevent
 from gevent import socket
 
-CHUNK = 16384
+CHUNK_BYTES = 16384
 
 
-class Way:
-    """One direction of a link. What is read while it is frozen stays in it; what is read while it is cut is
-    lost, and as bytes of a stream can't be left out, the connection ends then."""
+class Direction:
+    """One direction of a link.
+
+    Bytes read during a freeze are sent when it is over. Bytes read during a cut are lost; as a stream cannot
+    skip bytes, a cut also closes the connection.
+    """
 
     def __init__(self) -> None:
         self.frozen_until = 0.0
         self.delay_s = 0.0
         self.delay_until = 0.0
-        self.rate = 0.0  # bytes a second; 0: as fast as it goes
+        self.rate_bytes_per_s = 0.0  # 0: no limit
         self.bytes = 0
 
-    def hold(self, now: float) -> float:
+    def delay_left_s(self, now: float) -> float:
+        """Returns how long bytes read now are delayed."""
         wait = max(0.0, self.frozen_until - now)
         return wait + (self.delay_s if now < self.delay_until else 0.0)
 
 
 class Proxy:
-    """Stands where one member's peers look for it, for one of them."""
+    """Takes the place of one member's address for one of its peers."""
 
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
-        self.out, self.back = Way(), Way()  # from the one that connects, and to it
+        self.out, self.back = Direction(), Direction()  # from the connecting member, and to it
         self.refused_until = 0.0
-        self.pairs: set[tuple[socket.socket, socket.socket]] = set()
+        self.connections: set[tuple[socket.socket, socket.socket]] = set()
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(16)
         self.address: tuple[str, int] = self.listener.getsockname()
-        gevent.spawn(self._run)
+        gevent.spawn(self._accept)
 
-    def _run(self) -> None:
+    def _accept(self) -> None:
         while True:
             try:
                 near, _ = self.listener.accept()
             except OSError:
                 return
-            gevent.spawn(self._pair, near)
+            gevent.spawn(self._connect_pair, near)
 
-    def _pair(self, near: socket.socket) -> None:
+    def _connect_pair(self, near: socket.socket) -> None:
         if time.monotonic() < self.refused_until:
             near.close()
             return
@@ -62,60 +65,64 @@
         for sock in (near, far):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         pair = (near, far)
-        self.pairs.add(pair)
+        self.connections.add(pair)
         gevent.joinall(
             [gevent.spawn(self._carry, near, far, self.out), gevent.spawn(self._carry, far, near, self.back)],
             count=1,
         )
-        self._end(pair)
+        self._close_pair(pair)
 
-    def _end(self, pair: tuple[socket.socket, socket.socket]) -> None:
-        self.pairs.discard(pair)
+    def _close_pair(self, pair: tuple[socket.socket, socket.socket]) -> None:
+        self.connections.discard(pair)
         for sock in pair:
             sock.close()
 
-    def _carry(self, source: socket.socket, target: socket.socket, way: Way) -> None:
+    def _carry(self, source: socket.socket, target: socket.socket, direction: Direction) -> None:
         try:
-            while data := source.recv(CHUNK):
-                while (wait := way.hold(time.monotonic())) > 0.0:
+            while data := source.recv(CHUNK_BYTES):
+                while (wait := direction.delay_left_s(time.monotonic())) > 0.0:
                     gevent.sleep(wait)
-                    if way.frozen_until <= time.monotonic():
+                    if direction.frozen_until <= time.monotonic():
                         break
-                if way.rate:
-                    gevent.sleep(len(data) / way.rate)
-                way.bytes += len(data)
+                if direction.rate_bytes_per_s:
+                    gevent.sleep(len(data) / direction.rate_bytes_per_s)
+                direction.bytes += len(data)
                 target.sendall(data)
         except OSError:
             pass
 
     def open(self, within_s: float = 0.1) -> bool:
-        """A connection stands, and each way lets through within this time."""
+        """Returns whether there is a connection whose directions are both delayed by `within_s` at most."""
         now = time.monotonic()
-        return bool(self.pairs) and all(way.hold(now) <= within_s for way in (self.out, self.back))
+        return bool(self.connections) and all(
+            direction.delay_left_s(now) <= within_s for direction in (self.out, self.back)
+        )
 
-    # -- faults
+    # Faults
 
     def drop(self) -> None:
-        for pair in list(self.pairs):
-            self._end(pair)
+        """Closes all connections."""
+        for pair in list(self.connections):
+            self._close_pair(pair)
 
     def cut(self, seconds: float) -> None:
-        """Both ways, and new connections are refused."""
+        """Closes all connections and refuses new ones."""
         self.refused_until = max(self.refused_until, time.monotonic() + seconds)
         self.drop()
 
     def freeze(self, seconds: float, out: bool = True, back: bool = True) -> None:
-        """The connection is kept and nothing comes through: a cut as a machine sees it whose peer is
-        unreachable."""
+        """Holds all bytes back but keeps the connection, as when a peer's machine becomes unreachable."""
         until = time.monotonic() + seconds
-        for way, wanted in ((self.out, out), (self.back, back)):
+        for direction, wanted in ((self.out, out), (self.back, back)):
             if wanted:
-                way.frozen_until = max(way.frozen_until, until)
+                direction.frozen_until = max(direction.frozen_until, until)
 
     def slow(self, seconds: float, delay_s: float) -> None:
-        for way in (self.out, self.back):
-            way.delay_s, way.delay_until = delay_s, time.monotonic() + seconds
+        """Delays both directions."""
+        for direction in (self.out, self.back):
+            direction.delay_s, direction.delay_until = delay_s, time.monotonic() + seconds
 
     def close(self) -> None:
+        """Stops the proxy."""
         self.listener.close()
         self.drop()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy of the rig does what its faults say, or the plays on it show nothing."""
+"""Tests of the rig's fault proxy: experiments prove nothing if its faults do not take effect."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
 
 
 def came_through(source: socket.socket, target: socket.socket) -> bool:
-    """Within a tenth of a second."""
+    """Returns whether a byte arrives within 0.1 s."""
     source.sendall(b"x")
     with gevent.Timeout(0.1, False):
         return target.recv(1) == b"x"
     return False
 
 
-def test_it_carries_both_ways(ends: Ends) -> None:
+def test_bytes_pass_in_both_directions(ends: Ends) -> None:
     _, near, far = ends
     assert came_through(near, far) and came_through(far, near)
 
 
-def test_a_one_way_freeze_holds_that_way_alone_and_loses_nothing(ends: Ends) -> None:
+def test_a_one_way_freeze_delays_that_direction_alone_and_loses_nothing(ends: Ends) -> None:
     proxy, near, far = ends
     proxy.freeze(0.5, out=True, back=False)
     assert not came_through(near, far) and came_through(far, near)
-    assert far.recv(1) == b"x", "it comes once the freeze is over"
+    assert far.recv(1) == b"x", "the byte arrives once the freeze is over"
 
 
-def test_it_tells_whether_it_lets_through(ends: Ends) -> None:
+def test_open_reports_whether_bytes_pass(ends: Ends) -> None:
     proxy, near, far = ends
     assert came_through(near, far) and proxy.open()
     proxy.freeze(20.0, out=False)
@@ -58,7 +58,7 @@
     assert near.recv(1) == b"" and not proxy.open()
 
 
-def test_a_cut_ends_the_connection_and_refuses_new_ones(ends: Ends) -> None:
+def test_a_cut_closes_the_connection_and_refuses_new_ones(ends: Ends) -> None:
     proxy, near, far = ends
     proxy.cut(0.5)
     assert near.recv(1) == b"" and far.recv(1) == b""
@@ -67,7 +67,7 @@
     again.close()
 
 
-def test_a_slow_link_is_late_by_what_was_told(ends: Ends) -> None:
+def test_a_slow_link_delays_bytes_by_the_given_time(ends: Ends) -> None:
     proxy, near, far = ends
     proxy.slow(5.0, 0.2)
     assert not came_through(near, far) and far.recv(1) == b"x"
