--- a/examples/toy.py
+++ b/examples/toy.py
@@ -111,10 +111,7 @@
             size = int.from_bytes(payload[offset : offset + 2], "little")
             fields.append(f"{name}={payload[offset + 2 : offset + 2 + size].decode()}")
             offset += 2 + size
-        if kind == HEALTH:
-            answer = "not healthy" if code else "healthy"
-        else:
-            answer = ANSWER_NAMES[code]
+        answer = ("not healthy" if code else "healthy") if kind == HEALTH else ANSWER_NAMES[code]
         print(f"caller: stream {stream} {answer} {' '.join(fields)} {payload[offset:].decode()}")
 
 
