--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from rig.experiments import EXPERIMENTS, Play, play, scene_of
+from rig.experiments import EXPERIMENTS, ExperimentResult, run_experiment, scene_of
 
 FLEET_EXPERIMENTS = {
     "fleet-owner": "each duty has one owner at a time, under faults between 5 processes, 3 of them voters"
@@ -63,7 +63,7 @@
         click.echo(f"{name:14} {description}")
 
 
-def _exit(lines: list[dict[str, Any]], violations: list[Play]) -> None:
+def _exit(lines: list[dict[str, Any]], violations: list[ExperimentResult]) -> None:
     click.echo(json.dumps(lines[0] if len(lines) == 1 else {"plays": lines}))
     for one in violations:
         click.echo(f"seed {one.seed}: {one.first_break}", err=True)
@@ -102,7 +102,7 @@
     scene = scene_of(name, off, quick, **changes)
     with Progress(console=Console(stderr=True), transient=True) as bar:
         task = bar.add_task(name, total=1.0)
-        one = play(name, seed, scene, lambda done: bar.update(task, completed=done), real)
+        one = run_experiment(name, seed, scene, lambda done: bar.update(task, completed=done), real)
     if out is not None:
         from rig.results import save
 
@@ -129,9 +129,9 @@
             )
             one = ownership_experiment.play(seed, scene, BUGS.get(bug or ""))
         else:
-            from rig.processes.ownership_experiment import play as play_real
+            from rig.processes.ownership_experiment import run_experiment as run_real
 
-            one = play_real(
+            one = run_real(
                 seed,
                 seconds=25.0 if quick else 60.0,
                 fence=bug != "fence",
@@ -165,11 +165,11 @@
     sys.exit(1 if one.first_break else 0)
 
 
-def _job(job: tuple[str, str, str, int, dict[str, Any], bool, bool]) -> tuple[str, Play]:
+def _job(job: tuple[str, str, str, int, dict[str, Any], bool, bool]) -> tuple[str, ExperimentResult]:
     logger.remove()
     side, off, name, seed, changes, quick, real = job
     scene = scene_of(name, off if side == "off" else None, quick, **changes)
-    return side, play(name, seed, scene, real=real)
+    return side, run_experiment(name, seed, scene, real=real)
 
 
 @main.command()
@@ -201,7 +201,7 @@
         for seed in range(1, seeds + 1)
         for side in ("on", "off")
     ]
-    plays: list[tuple[str, Play]] = []
+    plays: list[tuple[str, ExperimentResult]] = []
     with ProcessPoolExecutor(jobs) as pool, Progress(console=Console(stderr=True), transient=True) as bar:
         task = bar.add_task(name, total=len(work))
         for done in pool.map(_job, work):
--- a/rig/callers.py
+++ b/rig/callers.py
@@ -144,11 +144,11 @@
 
     def _send_try(self, request: Request) -> None:
         now = self.clock.now
-        left = request.deadline - now
+        remaining_ms = request.deadline - now
         if request.is_finished:
             return
         backend = None
-        if left >= self.behaviour.least_left and request.tries < self.behaviour.tries_at_most:
+        if remaining_ms >= self.behaviour.least_left and request.tries < self.behaviour.tries_at_most:
             backend = self._choose_backend(request)
             if backend is None and self.behaviour.deaf:
                 self.clock.call_later(EMPTY_LIST_RETRY_MS, lambda: self._send_try(request))
@@ -161,13 +161,19 @@
         patience = (
             self.behaviour.first if request.tries == 1 and self.behaviour.first else self.behaviour.patience
         )
-        wait = left if patience is None else min(left, patience)
+        timeout = remaining_ms if patience is None else min(remaining_ms, patience)
         one = Try(
-            f"{self.number:06x}{self.exchange_count:010x}", request, self, backend, now, wait, request.tries
+            f"{self.number:06x}{self.exchange_count:010x}",
+            request,
+            self,
+            backend,
+            now,
+            timeout,
+            request.tries,
         )
         self.outstanding[backend] = self.outstanding.get(backend, 0) + 1
         self.on_try(one)
-        self.clock.call_later(wait, lambda: self._abandon(one))
+        self.clock.call_later(timeout, lambda: self._abandon(one))
         self.network.send(one)
 
     def _abandon(self, one: Try) -> None:
--- a/rig/experiments.py
+++ b/rig/experiments.py
@@ -59,7 +59,7 @@
 
 
 @dataclass
-class Play:
+class ExperimentResult:
     """Result of one run. Field names are written to result.json."""
 
     experiment: str
@@ -119,7 +119,9 @@
     return earned / asked
 
 
-def play(name: str, seed: int, scene: Scene, progress: Progress = lambda _: None, real: bool = False) -> Play:
+def run_experiment(
+    name: str, seed: int, scene: Scene, progress: Progress = lambda _: None, real: bool = False
+) -> ExperimentResult:
     """Runs an experiment on the virtual clock, or with real processes on loopback."""
     began = time.perf_counter()
     fleet: Fleet
@@ -134,7 +136,7 @@
         fleet = Fleet(scene, seed)
     ground_truth = GroundTruth(fleet)
     fleet.on_sample.append(lambda now: progress(now / scene.end))
-    fleet.play()
+    fleet.run()
     found = figures(fleet)
     rules, first = found.pop("rules"), found.pop("first_break")
     if EXPERIMENTS[name].storm:
@@ -155,7 +157,7 @@
     for request in fleet.requests:
         if request.served_at is not None:
             times.record_value(max(1, round(request.served_at - request.created_at)))
-    return Play(
+    return ExperimentResult(
         name,
         seed,
         asdict(scene),
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -214,8 +214,8 @@
             return known
         known = [
             n
-            for n, told in enumerate(self.listing_history)
-            if next((on for at, on in reversed(told) if at <= then), False)
+            for n, history in enumerate(self.listing_history)
+            if next((on for at, on in reversed(history) if at <= then), False)
         ]
         self.list_cache[caller.number] = (self.clock.now, known)
         return known
@@ -332,7 +332,7 @@
             hook(self.clock.now)
         self.clock.call_later(SAMPLING_INTERVAL_MS, self._sample)
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Runs the scene to its end."""
         scene = self.scene
         self.clock.call_later(LOAD_START_MS, self._start_load)
--- a/rig/processes/fleet.py
+++ b/rig/processes/fleet.py
@@ -120,7 +120,7 @@
         one.wait_until_listening()
         self.reconnect_storm.connect(one.listen, self.scene.crowd)
 
-    def play(self) -> None:
+    def run(self) -> None:
         try:
             for one in self.backends:
                 assert isinstance(one, BackendProcess)
@@ -128,7 +128,7 @@
             self.real_clock.begin()
             for one in self.backends:
                 one.machine.started_at = -WARM_UPTIME_MS
-            super().play()
+            super().run()
         finally:
             self.close()
 
--- a/rig/processes/ownership_experiment.py
+++ b/rig/processes/ownership_experiment.py
@@ -463,7 +463,7 @@
         return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
 
 
-def play(
+def run_experiment(
     seed: int,
     seconds: float = 40.0,
     every: float = 2.0,
--- a/rig/results.py
+++ b/rig/results.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from myrtlecrank import __version__
-from rig.experiments import Play
+from rig.experiments import ExperimentResult
 
 FIGURE_NAMES = (
     "before",
@@ -46,38 +46,38 @@
     return "never" if value is None else f"{value:g}"
 
 
-def table(plays: Sequence[tuple[str, Play]]) -> str:
+def table(results: Sequence[tuple[str, ExperimentResult]]) -> str:
     """Returns a Markdown table with a row per run and the means of each side."""
-    keys = [key for key in FIGURE_NAMES if any(key in play.figures for _, play in plays)]
+    keys = [key for key in FIGURE_NAMES if any(key in result.figures for _, result in results)]
     rows = [f"| side | seed | {' | '.join(keys)} | breaks |", f"| --- | --- |{' --- |' * (len(keys) + 1)}"]
-    for side, play in plays:
-        cells = [_format_figure(play.figures[key]) if key in play.figures else "" for key in keys]
-        rows.append(f"| {side} | {play.seed} | {' | '.join(cells)} | {sum(play.rules.values())} |")
-    for side in dict.fromkeys(side for side, _ in plays):
-        side_plays = [play for which, play in plays if which == side]
+    for side, result in results:
+        cells = [_format_figure(result.figures[key]) if key in result.figures else "" for key in keys]
+        rows.append(f"| {side} | {result.seed} | {' | '.join(cells)} | {sum(result.rules.values())} |")
+    for side in dict.fromkeys(side for side, _ in results):
+        side_results = [result for which, result in results if which == side]
         cells = []
         for key in keys:
-            values = [play.figures[key] for play in side_plays if key in play.figures]
+            values = [result.figures[key] for result in side_results if key in result.figures]
             known = [value for value in values if value is not None]
             mean = f"{sum(known) / len(known):.3g}" if known else ""
             never = len(values) - len(known)
             cells.append(f"{mean} ({never} never)" if never else mean)
-        violations = sum(sum(play.rules.values()) for play in side_plays)
+        violations = sum(sum(result.rules.values()) for result in side_results)
         rows.append(f"| {side} | mean | {' | '.join(cells)} | {violations} |")
     return "\n".join(rows) + "\n"
 
 
-def summary(plays: Sequence[tuple[str, Play]]) -> dict[str, dict[str, Any]]:
+def summary(results: Sequence[tuple[str, ExperimentResult]]) -> dict[str, dict[str, Any]]:
     """Returns by side and figure the mean, least and most value, and the number of runs without one."""
     found: dict[str, dict[str, Any]] = {}
-    for side in dict.fromkeys(side for side, _ in plays):
-        side_plays = [play for which, play in plays if which == side]
+    for side in dict.fromkeys(side for side, _ in results):
+        side_results = [result for which, result in results if which == side]
         rows: dict[str, Any] = {
-            "plays": len(side_plays),
-            "breaks": sum(sum(play.rules.values()) for play in side_plays),
+            "plays": len(side_results),
+            "breaks": sum(sum(result.rules.values()) for result in side_results),
         }
         for key in FIGURE_NAMES:
-            values = [play.figures[key] for play in side_plays if key in play.figures]
+            values = [result.figures[key] for result in side_results if key in result.figures]
             known = [value for value in values if value is not None]
             if values:
                 rows[key] = {
@@ -90,12 +90,12 @@
     return found
 
 
-def save(plays: Sequence[tuple[str, Play]], folder: Path, title: str) -> None:
+def save(results: Sequence[tuple[str, ExperimentResult]], folder: Path, title: str) -> None:
     """Writes the results, their table and their chart into a folder."""
     from rig import charts  # imports matplotlib, which takes long
 
     folder.mkdir(parents=True, exist_ok=True)
-    rows = [{"side": side, **asdict(play)} for side, play in plays]
+    rows = [{"side": side, **asdict(result)} for side, result in results]
     parameters = rows[0]["parameters"]
     for row in rows:
         del row["parameters"]  # the same for all runs, except for the subsystem that one side runs without
@@ -104,12 +104,12 @@
     kept = {
         "title": title,
         "versions": versions(),
-        "summary": summary(plays),
+        "summary": summary(results),
         "parameters": parameters,
         "plays": rows,
     }
     (folder / "result.json").write_text(json.dumps(kept, separators=(",", ":")) + "\n")
-    (folder / "table.md").write_text(f"# {title}\n\n{table(plays)}")
+    (folder / "table.md").write_text(f"# {title}\n\n{table(results)}")
     charts.draw_storm([(row["side"], row) for row in rows], parameters, title, folder / "chart.png")
 
 
@@ -118,6 +118,6 @@
     from rig import charts
 
     kept = json.loads((folder / "result.json").read_text())
-    plays = [(row["side"], row) for row in kept["plays"]]
-    charts.draw_storm(plays, kept["parameters"], kept["title"], folder / "chart.png")
+    results = [(row["side"], row) for row in kept["plays"]]
+    charts.draw_storm(results, kept["parameters"], kept["title"], folder / "chart.png")
     return folder / "chart.png"
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,7 +12,7 @@
 from rig.__main__ import main
 from rig.callers import Caller, CallerBehaviour, Request, Try, TryOutcome
 from rig.clock import Clock
-from rig.experiments import play, scene_of
+from rig.experiments import run_experiment, scene_of
 from rig.fleet import Fleet, Scene, figures
 from rig.machine import Machine, MachineSpec
 from rig.rules import Rules
@@ -171,14 +171,14 @@
         answer(outcome)  # type: ignore[arg-type]
 
     faulty_backend._answer = twice  # type: ignore[method-assign]
-    fleet.play()
+    fleet.run()
     assert fleet.rules.violations["twice"] > 0
 
 
 def test_the_same_seed_gives_the_same_trace() -> None:
     def trace(seed: int) -> list[tuple[str, float, str | None]]:
         fleet = Fleet(SMALL, seed)
-        fleet.play()
+        fleet.run()
         return [(t.exchange_id, t.sent_at, t.outcome.name if t.outcome else None) for t in fleet.tries]
 
     assert trace(3) == trace(3) != trace(4)
@@ -189,8 +189,8 @@
     persists after its cause has gone."""
     scene = Scene(backends=5, callers=15, deaf=0.6, killed=0.4, after_ms=20_000.0, timeout=4500.0, slo=1800.0)
     without, with_it = Fleet(replace(scene, repeats=None), 2), Fleet(scene, 2)
-    without.play()
-    with_it.play()
+    without.run()
+    with_it.run()
     off, on = figures(without), figures(with_it)
     assert off["recovery_s"] is None
     assert on["recovery_s"] is not None and on["recovery_s"] < 15.0
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("name", ["calm", "coach-party"])
 def test_no_false_alarm_without_retries(name: str) -> None:
-    one = play(name, 1, scene_of(name, quick=True))
+    one = run_experiment(name, 1, scene_of(name, quick=True))
     assert one.figures["false_alarm_s"] == 0.0
     assert not any(one.rules.values())
 
@@ -238,5 +238,5 @@
 
 
 def test_a_rolling_deploy_in_a_storm_keeps_the_rules() -> None:
-    one = play("storm-deploy", 3, scene_of("storm-deploy", quick=True))
+    one = run_experiment("storm-deploy", 3, scene_of("storm-deploy", quick=True))
     assert not any(one.rules.values()), one.first_break
