--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -32,7 +32,7 @@
     play.run()
     cpu = time.process_time() - before
     seconds = LENGTH_MS / 1000.0
-    sent = [play.world.sent.get(member.name, 0) / seconds for member in play.members]
+    sent = [play.environment.sent_bytes.get(member.name, 0) / seconds for member in play.members]
     voters = [
         rate for member, rate in zip(play.members, sent, strict=True) if member.name in play.plan.voters
     ]
@@ -42,7 +42,7 @@
     return (
         f"{members:4}  watch {watch_ms:6.0f}  bytes/s voter {sum(voters) / len(voters):8.0f}  "
         f"other {sum(others) / max(1, len(others)):7.0f}  "
-        f"messages/s {play.world.messages / members / seconds:6.1f}  "
+        f"messages/s {play.environment.message_count / members / seconds:6.1f}  "
         f"CPU ms/s {1000.0 * cpu / members / seconds:5.2f}"
     )
 
--- a/rig/multi_node/member.py
+++ b/rig/multi_node/member.py
@@ -1,5 +1,5 @@
-"""One member on the virtual clock: the program's own decisions, with its voter's disk, between the world's
-faults."""
+"""One simulated member of a fleet: the program's own FleetMember and Voter on a virtual clock, with a
+simulated network and disk."""
 
 from __future__ import annotations
 
@@ -16,168 +16,197 @@
 from myrtlecrank.fleet.register.messages import Known, Memory, Seated
 from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set
 from myrtlecrank.fleet.step_scheduler import Effect
-from rig.multi_node.environment import Host, World
+from rig.multi_node.environment import Host, SimulatedEnvironment
 
-PACKED = msgspec.msgpack.Encoder()
-UNPACK = msgspec.msgpack.Decoder(Message)
-REJOIN_MS = 200.0
+ENCODER = msgspec.msgpack.Encoder()
+DECODER = msgspec.msgpack.Decoder(Message)
+REJOIN_INTERVAL_MS = 200.0
+MIN_TICK_INTERVAL_MS = 0.5
+OLDER_IMAGE_SHARE = 0.02  # share of flushes whose previous image is kept for the old-disk fault
+RENAME_DONE_SHARE = 0.5  # share of crashes during a write that leave the new image
+ADDRESS = ("127.0.0.1", 1)  # not used: messages are addressed by name
 
 
 class Disk:
-    """What a voter's writes leave behind: the last flushed image, older copies, a write that a death may tear
-    off."""
+    """A voter's state file: the last flushed image, older images that a fault may restore, and a write in
+    progress that a crash may lose."""
 
     def __init__(self) -> None:
         self.image: bytes | None = None
-        self.writing: bytes | None = None
-        self.copies: list[bytes] = []
+        self.pending_image: bytes | None = None
+        self.older_images: list[bytes] = []
         self.full_until = 0.0
 
-    def die(self, landed: bool) -> None:
-        """The process ends: a rename under way has come about, or has not."""
-        if self.writing is not None and landed:
-            self.image = self.writing
-        self.writing = None
+    def crash(self, rename_done: bool) -> None:
+        """Ends the process. A write in progress survives only if its rename was done."""
+        if self.pending_image is not None and rename_done:
+            self.image = self.pending_image
+        self.pending_image = None
 
 
-def newest(voters: Iterable[Voter]) -> Roster:
-    """The newest roster that any of these goes by."""
-    return max((one.memory.roster for one in voters), key=lambda roster: roster.number)
+def newest_voter_set(voters: Iterable[Voter]) -> Roster:
+    """Returns the newest voter set that any of these voters uses."""
+    return max((voter.memory.roster for voter in voters), key=lambda roster: roster.number)
 
 
 class VoterHost:
-    """The voter of one member: questions that wait while a flush is under way go together under the next
-    one."""
+    """The voter of one member. Requests that arrive during a flush are answered as one batch under the next
+    flush."""
 
     def __init__(
         self,
         host: Host,
-        guess: Sequence[str],
+        initial_voters: Sequence[str],
         disk: Disk,
-        trusted: bool,
+        disk_is_trusted: bool,
         send: Callable[[str, Message], None],
         flush_ms: float,
     ) -> None:
         self.host, self.disk, self.send, self.flush_ms = host, disk, send, flush_ms
         memory = decode(disk.image) if disk.image is not None else None
-        ident = f"{host.name}/{host.life}"
-        self.voter = Voter(host.name, guess, memory, self._keep, memory_is_trusted=trusted, instance_id=ident)
-        self.waiting: list[tuple[str, Letter]] = []
-        self.busy = False
-        self._rejoin()
-
-    def _keep(self, memory: Memory) -> bool:
-        if self.disk.full_until > self.host.world.now:
+        instance_id = f"{host.name}/{host.incarnation}"
+        self.voter = Voter(
+            host.name,
+            initial_voters,
+            memory,
+            self._save,
+            memory_is_trusted=disk_is_trusted,
+            instance_id=instance_id,
+        )
+        self.pending_requests: list[tuple[str, Letter]] = []
+        self.is_flushing = False
+        self._request_rejoin()
+
+    def _save(self, memory: Memory) -> bool:
+        if self.disk.full_until > self.host.environment.now:
             return False
-        self.disk.writing = encode(memory)
+        self.disk.pending_image = encode(memory)
         return True
 
-    def _rejoin(self) -> None:
-        """Now and then, as a voter may be wanted at any time later."""
-        asked = self.voter.rejoin()
-        if asked is not None:
+    def _request_rejoin(self) -> None:
+        """Asks the other voters for their state, and repeats: the member may become a voter at any later
+        time."""
+        request = self.voter.rejoin()
+        if request is not None:
             for other in sorted(self.voter.others):
-                self.send(other, asked)
-        self.host.later(self.host.world.now + REJOIN_MS, self._rejoin)
-
-    def ask(self, sender: str, asked: Letter) -> None:
-        self.waiting.append((sender, asked))
-        if not self.busy:
-            self._turn()
-
-    def _turn(self) -> None:
-        taken, self.waiting = self.waiting, []
-        # A copy of a memory that is told: what is sent must not change with it.
-        said: list[tuple[str, Message]] = [
-            (to, UNPACK.decode(PACKED.encode(message)) if isinstance(message, Known) else message)
-            for to, message in replies(self.voter, taken)
+                self.send(other, request)
+        self.host.run_at(self.host.environment.now + REJOIN_INTERVAL_MS, self._request_rejoin)
+
+    def ask(self, sender: str, request: Letter) -> None:
+        """Queues a request; answers at once unless a flush is in progress."""
+        self.pending_requests.append((sender, request))
+        if not self.is_flushing:
+            self._answer_pending()
+
+    def _answer_pending(self) -> None:
+        requests, self.pending_requests = self.pending_requests, []
+        # A reported memory is copied: a message must not change after it was sent.
+        answers: list[tuple[str, Message]] = [
+            (to, DECODER.decode(ENCODER.encode(message)) if isinstance(message, Known) else message)
+            for to, message in replies(self.voter, requests)
         ]
-        self.busy = True
-        self.host.later(self.host.world.now + self.flush_ms, lambda: self._flushed(said))
-
-    def _flushed(self, said: list[tuple[str, Message]]) -> None:
-        self.busy = False
-        if self.disk.writing is not None:
-            if self.disk.image is not None and self.host.world.random.random() < 0.02:
-                self.disk.copies.append(self.disk.image)
-            self.disk.image, self.disk.writing = self.disk.writing, None
-        for to, message in said:
+        self.is_flushing = True
+        self.host.run_at(self.host.environment.now + self.flush_ms, lambda: self._flushed(answers))
+
+    def _flushed(self, answers: list[tuple[str, Message]]) -> None:
+        self.is_flushing = False
+        if self.disk.pending_image is not None:
+            if self.disk.image is not None and self.host.environment.random.random() < OLDER_IMAGE_SHARE:
+                self.disk.older_images.append(self.disk.image)
+            self.disk.image, self.disk.pending_image = self.disk.pending_image, None
+        for to, message in answers:
             self.send(to, message)
-        if self.waiting:
-            self._turn()
+        if self.pending_requests:
+            self._answer_pending()
 
 
 class Member:
-    """`carry_out` gets the effects, with the true time at which the process let go of them."""
+    """One member's process. `on_effect` is called at once with each effect that the member decides on."""
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         name: str,
         zone: str,
-        plan: FleetConfig,
+        config: FleetConfig,
         names: list[str],
         drift: float,
-        carry_out: Callable[[Member, Effect], None],
+        on_effect: Callable[[Member, Effect], None],
         flush_ms: float = 2.0,
     ) -> None:
-        self.world, self.name, self.zone, self.plan, self.names = world, name, zone, plan, names
-        self.host = Host(world, name, drift)
+        self.environment = environment
+        self.name = name
+        self.zone = zone
+        self.config = config
+        self.names = names
+        self.host = Host(environment, name, drift)
         self.disk = Disk()
-        self.carry_out, self.flush_ms = carry_out, flush_ms
+        self.on_effect = on_effect
+        self.flush_ms = flush_ms
         self.peers: dict[str, Member] = {}
-        self.voter: VoterHost | None = None
-        self.woken = 0
-        if name in plan.voters:
-            self.disk.image = encode(Memory("", name, 0, {}, {}, founding_voter_set(plan.voters)))
-
-    def start(self, trusted: bool = False) -> None:
-        world, host = self.world, self.host
-        host.up, host.life = True, host.life + 1
+        self.voter_host: VoterHost | None = None
+        self.tick_count = 0
+        if name in config.voters:
+            self.disk.image = encode(Memory("", name, 0, {}, {}, founding_voter_set(config.voters)))
+
+    def start(self, disk_is_trusted: bool = False) -> None:
+        """Starts a new incarnation of the process with the state on its disk."""
+        environment, host = self.environment, self.host
+        host.is_up, host.incarnation = True, host.incarnation + 1
         now = host.clock()
-        me = MemberUpdate(self.name, ("127.0.0.1", 1), self.zone, host.life, State.ALIVE)
-        seeds = {one: ("127.0.0.1", 1) for one in self.names}
-        self.fleet = FleetMember(me, f"{host.life}", seeds, self.plan, world.random.random, now)
-        self.voter = VoterHost(host, self.plan.voters, self.disk, trusted, self.send, self.flush_ms)
+        me = MemberUpdate(self.name, ADDRESS, self.zone, host.incarnation, State.ALIVE)
+        seeds = {name: ADDRESS for name in self.names}
+        self.fleet = FleetMember(
+            me, f"{host.incarnation}", seeds, self.config, environment.random.random, now
+        )
+        self.voter_host = VoterHost(
+            host, self.config.voters, self.disk, disk_is_trusted, self.send, self.flush_ms
+        )
         self.tick()
 
-    def die(self) -> None:
-        self.host.up, self.host.life = False, self.host.life + 1
-        self.disk.die(self.world.random.random() < 0.5)
+    def crash(self) -> None:
+        """Ends the process at once."""
+        self.host.is_up, self.host.incarnation = False, self.host.incarnation + 1
+        self.disk.crash(self.environment.random.random() < RENAME_DONE_SHARE)
 
-    def stop_for(self, ms: float) -> None:
-        self.host.stopped_until = max(self.host.stopped_until, self.world.now + ms)
+    def pause_for(self, ms: float) -> None:
+        """Pauses the process, as SIGSTOP does."""
+        self.host.paused_until = max(self.host.paused_until, self.environment.now + ms)
 
     def send(self, to: str, message: Message) -> None:
-        raw = PACKED.encode(message)
+        """Sends a message to another member, or to this one."""
+        raw = ENCODER.encode(message)
         peer = self.peers.get(to)
         if peer is not None:
-            self.world.carry(self.name, to, len(raw), lambda: peer.arrived(self.name, raw))
-
-    def arrived(self, sender: str, raw: bytes) -> None:
-        if self.host.up:
-            self.host.later(self.world.now, lambda: self.heard(sender, raw))
-
-    def heard(self, sender: str, raw: bytes) -> None:
-        message = UNPACK.decode(raw)
-        if isinstance(message, Letter) and self.voter is not None:
-            self.voter.ask(sender, message)
+            self.environment.transmit(self.name, to, len(raw), lambda: peer.receive(self.name, raw))
+
+    def receive(self, sender: str, raw: bytes) -> None:
+        """Takes a message from the network; a paused process handles it when it resumes."""
+        if self.host.is_up:
+            self.host.run_at(self.environment.now, lambda: self.handle(sender, raw))
+
+    def handle(self, sender: str, raw: bytes) -> None:
+        """Passes a message to the voter or to the member."""
+        message = DECODER.decode(raw)
+        if isinstance(message, Letter) and self.voter_host is not None:
+            self.voter_host.ask(sender, message)
             if not isinstance(message, Seated):
                 return
         self.fleet.handle(sender, message, self.host.clock())
         self.tick()
 
     def tick(self) -> None:
+        """Runs what is due, sends its messages and effects, and schedules the next tick."""
         fleet = self.fleet
         fleet.tick(self.host.clock())
-        out, fleet.outgoing = fleet.outgoing, []
-        for to, message in out:
+        outgoing, fleet.outgoing = fleet.outgoing, []
+        for to, message in outgoing:
             self.send(to, message)
         effects, fleet.effects = fleet.effects, []
         for effect in effects:
-            self.carry_out(self, effect)
-        self.woken += 1
-        woken = self.woken
-        # Never sooner than half a ms: a due time that does not move would else stand the world still.
-        when = max(self.host.true(fleet.due()), self.world.now + 0.5)
-        self.host.later(when, lambda: self.tick() if self.woken == woken else None)
+            self.on_effect(self, effect)
+        self.tick_count += 1
+        tick_count = self.tick_count
+        # Without a least interval, a due time that does not advance would stop virtual time.
+        when = max(self.host.true_time(fleet.due()), self.environment.now + MIN_TICK_INTERVAL_MS)
+        self.host.run_at(when, lambda: self.tick() if self.tick_count == tick_count else None)
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -15,8 +15,8 @@
 from myrtlecrank.fleet.register.voter_set import Roster
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 from rig.multi_node.checkers import Away, Resource, at_once
-from rig.multi_node.environment import World
-from rig.multi_node.member import Member, newest
+from rig.multi_node.environment import SimulatedEnvironment
+from rig.multi_node.member import Member, newest_voter_set
 
 DRIFT = 0.01
 STOP_IN_WRITE = 0.003  # share of effects with a stop between the look at the lease and the bytes
@@ -76,7 +76,7 @@
 AIMS = {"acting_at_once": 1, "owners_at_once": 1, "late_effects_taken": 0, "steps_lost": 0, "steps_twice": 0}
 
 
-def plan_of(scene: Scene) -> FleetConfig:
+def fleet_config(scene: Scene) -> FleetConfig:
     voters = tuple(f"m{i}" for i in range(scene.voters))
     works = tuple(DutySchedule(f"duty-{i}", scene.step_every, 400.0, 100.0) for i in range(scene.duties))
     terms = Terms.of(scene.lease, DRIFT, scene.lease / 4.0)
@@ -85,22 +85,22 @@
 
 class Play:
     def __init__(self, seed: int, scene: Scene, plant: Callable[[Play], None] | None = None) -> None:
-        self.scene, self.world = scene, World(seed)
+        self.scene, self.environment = scene, SimulatedEnvironment(seed)
         if not scene.faults:
-            self.world.lose = 0.0
-        self.plan = plan_of(scene)
+            self.environment.loss_probability = 0.0
+        self.config = fleet_config(scene)
         self.resource = Resource(fence=scene.fence)
         names = [f"m{i}" for i in range(scene.members)]
         self.members = [
-            Member(self.world, name, f"z{i % 3}", self.plan, names, DRIFT, self.carry_out)
+            Member(self.environment, name, f"z{i % 3}", self.config, names, DRIFT, self.carry_out)
             for i, name in enumerate(names)
         ]
         for one in self.members:
             one.peers = {other.name: other for other in self.members}
         self.script: list[tuple[float, str, str, float]] = []
         self.acted: list[tuple[float, str, str]] = []  # when it was decided, on which duty, by which owner
-        self.away = Away(self.plan.lease_terms.wait + 2.0 * self.plan.lease_terms.look)
-        self.world_seed = seed
+        self.away = Away(self.config.lease_terms.wait + 2.0 * self.config.lease_terms.look)
+        self.seed = seed
         self.voters_changed = 0
         if plant is not None:
             plant(self)
@@ -108,28 +108,32 @@
             one.start()
         self.look_around()
         if scene.faults:
-            self.world.at(5000.0, self.fault)
+            self.environment.schedule(5000.0, self.fault)
 
     # -- effects on their way to the resource
 
     def carry_out(self, member: Member, effect: Effect) -> None:
-        world = self.world
-        self.acted.append((world.now, effect.duty, f"{member.fleet.owner_id} {effect.epoch}"))
-        if self.scene.faults and world.random.random() < STOP_IN_WRITE:
+        environment = self.environment
+        self.acted.append((environment.now, effect.duty, f"{member.fleet.owner_id} {effect.epoch}"))
+        if self.scene.faults and environment.random.random() < STOP_IN_WRITE:
             # Stopped in the middle of the write: it has looked at its lease, and lets go of the bytes much
             # later.
-            self.told("stop-in-write", member.name, ms := world.random.uniform(500.0, 3.0 * self.scene.lease))
-            member.stop_for(ms)
-        member.host.later(world.now + 0.2, lambda: self.let_go(member, effect))
+            self.told(
+                "stop-in-write", member.name, ms := environment.random.uniform(500.0, 3.0 * self.scene.lease)
+            )
+            member.pause_for(ms)
+        member.host.run_at(environment.now + 0.2, lambda: self.let_go(member, effect))
 
     def let_go(self, member: Member, effect: Effect) -> None:
         owner = member.fleet.owner_id
 
         def arrive() -> None:
-            taken = self.resource.offered(self.world.now, owner, effect)
-            self.world.carry("resource", member.name, 20, lambda: self.answered(member, owner, effect, taken))
+            taken = self.resource.offered(self.environment.now, owner, effect)
+            self.environment.transmit(
+                "resource", member.name, 20, lambda: self.answered(member, owner, effect, taken)
+            )
 
-        self.world.carry(member.name, "resource", 60, arrive)
+        self.environment.transmit(member.name, "resource", 60, arrive)
 
     def answered(self, member: Member, owner: str, effect: Effect, taken: bool) -> None:
         def told() -> None:
@@ -137,35 +141,35 @@
                 member.fleet.finish_effect(effect, taken, member.host.clock())
                 member.tick()
 
-        if member.host.up:
-            member.host.later(self.world.now, told)
+        if member.host.is_up:
+            member.host.run_at(self.environment.now, told)
 
     # -- whether a majority is there to be had
 
     def look_around(self) -> None:
         """Nobody can own anything while no member reaches a majority of voters that vote, both ways and
         within a round's time."""
-        now = self.world.now
+        now = self.environment.now
         self.away.look(now, any(self._reaches(one) for one in self.members))
-        self.world.at(now + 25.0, self.look_around)
+        self.environment.schedule(now + 25.0, self.look_around)
 
     def _runs(self, one: Member) -> bool:
-        return one.host.up and one.host.stopped_until <= self.world.now
+        return one.host.is_up and one.host.paused_until <= self.environment.now
 
     def _reaches(self, one: Member) -> bool:
-        now = self.world.now
+        now = self.environment.now
 
         def through(a: Member, b: Member) -> bool:
-            until, more = self.world.slow.get((a.name, b.name), (0.0, 0.0))
-            cut = self.world.cuts.get((a.name, b.name), 0.0) > now
+            until, more = self.environment.slow_links.get((a.name, b.name), (0.0, 0.0))
+            cut = self.environment.blocked_links.get((a.name, b.name), 0.0) > now
             return a is b or not (cut or (until > now and more > 100.0))
 
         reached = [
-            (v.name, v.voter.voter.memory.seat)
+            (v.name, v.voter_host.voter.memory.seat)
             for v in self.members
-            if v.voter is not None
+            if v.voter_host is not None
             and self._runs(v)
-            and v.voter.voter.voting
+            and v.voter_host.voter.voting
             and v.disk.full_until <= now
             and through(one, v)
             and through(v, one)
@@ -174,7 +178,7 @@
 
     def roster(self) -> Roster:
         """The newest that any voter goes by."""
-        return newest(v.voter.voter for v in self.members if v.voter is not None)
+        return newest_voter_set(v.voter_host.voter for v in self.members if v.voter_host is not None)
 
     def voters(self) -> list[Member]:
         names = self.roster().names
@@ -183,11 +187,11 @@
     # -- faults
 
     def told(self, kind: str, whom: str, ms: float) -> None:
-        self.script.append((round(self.world.now, 1), kind, whom, round(ms, 1)))
+        self.script.append((round(self.environment.now, 1), kind, whom, round(ms, 1)))
 
     def fault(self) -> None:
-        world, random = self.world, self.world.random
-        if world.now > self.scene.length - 12_000.0:
+        environment, random = self.environment, self.environment.random
+        if environment.now > self.scene.length - 12_000.0:
             return  # what comes after the last fault is judged too
         one = random.choice(self.members)
         kind = random.choice(FAULTS + ("reseat",) * 8 if self.scene.reseats else FAULTS)
@@ -195,17 +199,19 @@
         others = [other for other in self.members if other is not one]
         getattr(self, "_" + kind.replace("-", "_"))(one, others, ms)
         self.told(kind, one.name, ms)
-        world.at(world.now + random.expovariate(1.0 / self.scene.every), self.fault)
+        environment.schedule(environment.now + random.expovariate(1.0 / self.scene.every), self.fault)
 
     def _back(self, one: Member, ms: float) -> None:
-        self.world.at(self.world.now + ms, lambda: one.start() if not one.host.up else None)
+        self.environment.schedule(
+            self.environment.now + ms, lambda: one.start() if not one.host.is_up else None
+        )
 
     def _kill(self, one: Member, _: list[Member], ms: float) -> None:
-        one.die()
+        one.crash()
         self._back(one, ms)
 
     def _stop(self, one: Member, _: list[Member], ms: float) -> None:
-        one.stop_for(ms)
+        one.pause_for(ms)
 
     def _cut(self, one: Member, others: list[Member], ms: float) -> None:
         self._cut_in(one, others, ms)
@@ -213,56 +219,58 @@
 
     def _cut_in(self, one: Member, others: list[Member], ms: float) -> None:
         for other in others:
-            self.world.cut(other.name, one.name, self.world.now + ms)
+            self.environment.block_link(other.name, one.name, self.environment.now + ms)
 
     def _cut_out(self, one: Member, others: list[Member], ms: float) -> None:
         """One way: it hears all and none hears it."""
         for other in others:
-            self.world.cut(one.name, other.name, self.world.now + ms)
+            self.environment.block_link(one.name, other.name, self.environment.now + ms)
 
     def _half(self, one: Member, others: list[Member], ms: float) -> None:
-        side = [one, *self.world.random.sample(others, len(others) // 2)]
+        side = [one, *self.environment.random.sample(others, len(others) // 2)]
         for a in self.members:
             for b in self.members:
                 if (a in side) != (b in side):
-                    self.world.cut(a.name, b.name, self.world.now + ms)
+                    self.environment.block_link(a.name, b.name, self.environment.now + ms)
 
     def _slow(self, one: Member, others: list[Member], ms: float) -> None:
         """Slower than the lease, at times."""
-        more = self.world.random.uniform(50.0, 1.5 * self.scene.lease)
+        more = self.environment.random.uniform(50.0, 1.5 * self.scene.lease)
         for other in others:
             for link in ((one.name, other.name), (other.name, one.name)):
-                self.world.slow[link] = (self.world.now + ms, more)
+                self.environment.slow_links[link] = (self.environment.now + ms, more)
 
     def _disk_full(self, one: Member, _: list[Member], ms: float) -> None:
-        one.disk.full_until = self.world.now + ms
+        one.disk.full_until = self.environment.now + ms
 
     def _all_vote(self) -> bool:
         """One memory is lost at a time: what two have lost together nobody can know, and the register stands
         still for good, as it should."""
         voters = self.voters()
-        return all(v.host.up and v.voter is not None and v.voter.voter.voting for v in voters)
+        return all(v.host.is_up and v.voter_host is not None and v.voter_host.voter.voting for v in voters)
 
     def _lost_disk(self, one: Member, _: list[Member], ms: float) -> None:
         all_vote = self._all_vote()
-        one.die()
+        one.crash()
         if all_vote:
             one.disk.image = None
         self._back(one, ms)
 
     def _old_disk(self, one: Member, _: list[Member], ms: float) -> None:
         all_vote = self._all_vote()
-        one.die()
-        if one.disk.copies and all_vote:
-            one.disk.image = self.world.random.choice(one.disk.copies)
+        one.crash()
+        if one.disk.older_images and all_vote:
+            one.disk.image = self.environment.random.choice(one.disk.older_images)
         self._back(one, ms)
 
     def _reseat(self, one: Member, _: list[Member], ms: float) -> None:
         """An operator at this member drops a voter and adds a member, which may be the same."""
-        if one.host.up and one.host.stopped_until <= self.world.now:
+        if one.host.is_up and one.host.paused_until <= self.environment.now:
             voters = self.voters()
-            drop = self.world.random.choice(voters)
-            add = self.world.random.choice([drop, *(other for other in self.members if other not in voters)])
+            drop = self.environment.random.choice(voters)
+            add = self.environment.random.choice(
+                [drop, *(other for other in self.members if other not in voters)]
+            )
             one.fleet.replace_voters([drop.name], [add.name], self.reseated, one.host.clock())
             one.tick()
 
@@ -270,31 +278,33 @@
         self.voters_changed += not how.wrong
 
     def _leave(self, one: Member, _: list[Member], ms: float) -> None:
-        if one.host.up and one.host.stopped_until <= self.world.now:
+        if one.host.is_up and one.host.paused_until <= self.environment.now:
             one.fleet.leave(one.host.clock())
             one.tick()
-            self.world.at(self.world.now + 400.0, lambda: one.die() if one.fleet.is_leaving else None)
+            self.environment.schedule(
+                self.environment.now + 400.0, lambda: one.crash() if one.fleet.is_leaving else None
+            )
             self._back(one, 400.0 + ms)
 
     def _all_voters(self, one: Member, _: list[Member], ms: float) -> None:
         for voter in self.voters():
-            voter.die()
-            self._back(voter, ms * (0.2 + 0.1 * self.world.random.random()))
+            voter.crash()
+            self._back(voter, ms * (0.2 + 0.1 * self.environment.random.random()))
 
     def _clock(self, one: Member, _: list[Member], ms: float) -> None:
         """The wall clock goes an hour back or ahead."""
-        one.host.wall += self.world.random.choice([-3_600_000.0, 3_600_000.0])
+        one.host.wall_clock_step_ms += self.environment.random.choice([-3_600_000.0, 3_600_000.0])
 
     def _flap(self, one: Member, others: list[Member], ms: float) -> None:
         for i in range(12):
-            self.world.at(self.world.now + 350.0 * i, lambda: self._cut(one, others, 170.0))
+            self.environment.schedule(self.environment.now + 350.0 * i, lambda: self._cut(one, others, 170.0))
 
     # -- the end
 
     def run(self) -> Played:
         scene, resource = self.scene, self.resource
-        self.world.run(scene.length)
-        names = [work.name for work in self.plan.schedules]
+        self.environment.run(scene.length)
+        names = [work.name for work in self.config.schedules]
         # An owner does a step every so often; what is longer without one, beyond a few tries, is unowned.
         usual = 3.0 * scene.step_every
         gaps = resource.gaps(4000.0, scene.length, names)
@@ -314,12 +324,12 @@
             "stuck": sum(scene.length - at > 3000.0 for at in last.values()),
             "faults": len(self.script),
             "messages_a_member_a_second": round(
-                self.world.messages / len(self.members) / scene.length * 1000.0, 1
+                self.environment.message_count / len(self.members) / scene.length * 1000.0, 1
             ),
         }
         trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.taken]
         wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures[key] > most]
-        return Played(self.world_seed, figures, self.script, trace, "; ".join(wrong))
+        return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
 
     def _changes(self, names: list[str]) -> list[tuple[float, float]]:
         """For each change of a duty's owner: when the old one was last heard and the new one first."""
--- a/rig/multi_node/planted_faults.py
+++ b/rig/multi_node/planted_faults.py
@@ -25,8 +25,8 @@
     for member in play.members:
 
         def make(start: Any, member: Member = member) -> Any:
-            def started(trusted: bool = False) -> None:
-                start(trusted)
+            def started(disk_is_trusted: bool = False) -> None:
+                start(disk_is_trusted)
                 change(member)
 
             return started
@@ -43,11 +43,11 @@
 
 
 def _wall(host: Host, clock: Callable[[], float]) -> float:
-    return clock() + host.wall
+    return clock() + host.wall_clock_step_ms
 
 
 def _true(host: Host, true: Callable[[float], float], local: float) -> float:
-    return true(local - host.wall)
+    return true(local - host.wall_clock_step_ms)
 
 
 def wall_time(play: Play) -> None:
@@ -55,7 +55,7 @@
     for member in play.members:
         host = member.host
         swap(host, "clock", partial(partial, _wall, host))
-        swap(host, "true", partial(partial, _true, host))
+        swap(host, "true_time", partial(partial, _true, host))
 
 
 def epoch_from_memory(play: Play) -> None:
@@ -82,16 +82,16 @@
 def voter_forgets(play: Play) -> None:
     """A voter that comes up without its memory begins anew instead of abstaining."""
     for member in play.members:
-        if member.name not in play.plan.voters:
+        if member.name not in play.config.voters:
             continue
 
         def make(start: Any, member: Member = member) -> Any:
-            def started(trusted: bool = False) -> None:
+            def started(disk_is_trusted: bool = False) -> None:
                 if member.disk.image is None:
                     member.disk.image = encode(
-                        Memory("", member.name, 0, {}, {}, founding_voter_set(play.plan.voters))
+                        Memory("", member.name, 0, {}, {}, founding_voter_set(play.config.voters))
                     )
-                start(trusted=True)
+                start(disk_is_trusted=True)
 
             return started
 
--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -22,7 +22,7 @@
 from myrtlecrank.fleet.register.reconfiguration import Reseated
 from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
 from rig.multi_node.checkers import Op
-from rig.multi_node.member import PACKED, UNPACK, newest
+from rig.multi_node.member import DECODER, ENCODER, newest_voter_set
 from rig.multi_node.register_history import Asker, judged
 
 FOUNDERS, ALL = ("v0", "v1", "v2"), ("v0", "v1", "v2", "v3", "v4")
@@ -110,10 +110,10 @@
         caller = self.callers.get(source) or self.callers.get(target)
         other = target if source in self.callers else source
         if caller is None or other in caller.reach:
-            self.bag.append(Sent(source, target, PACKED.encode(message)))
+            self.bag.append(Sent(source, target, ENCODER.encode(message)))
 
     def deliver(self, one: Sent) -> None:
-        message: Any = UNPACK.decode(one.raw)
+        message: Any = DECODER.decode(one.raw)
         caller = self.callers.get(one.target)
         if caller is not None:
             if isinstance(message, Voted):
@@ -125,7 +125,7 @@
 
     def lose(self) -> None:
         """One memory at a time: only while all that vote do."""
-        names = newest(self.voters.values()).names
+        names = newest_voter_set(self.voters.values()).names
         if all(self.voters[name].voting for name in names):
             name = self.random.choice(names)
             self.images.pop(name, None)
--- a/rig/multi_node/register_history.py
+++ b/rig/multi_node/register_history.py
@@ -17,8 +17,8 @@
 from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
 from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
 from rig.multi_node.checkers import Op, linearizable
-from rig.multi_node.environment import Host, World
-from rig.multi_node.member import PACKED, UNPACK, Disk, VoterHost, newest
+from rig.multi_node.environment import Host, SimulatedEnvironment
+from rig.multi_node.member import DECODER, ENCODER, Disk, VoterHost, newest_voter_set
 
 KEY = "key"
 
@@ -28,12 +28,12 @@
 
     def __init__(self, play: Register, name: str) -> None:
         self.play, self.name = play, name
-        self.host, self.disk = Host(play.world, name, 0.01), Disk()
-        self.voter: VoterHost | None = None
+        self.host, self.disk = Host(play.environment, name, 0.01), Disk()
+        self.voter_host: VoterHost | None = None
 
     def start(self, trusted: bool) -> None:
-        self.host.up, self.host.life = True, self.host.life + 1
-        self.voter = VoterHost(
+        self.host.is_up, self.host.incarnation = True, self.host.incarnation + 1
+        self.voter_host = VoterHost(
             self.host,
             self.play.founders,
             self.disk,
@@ -42,13 +42,13 @@
             self.play.flush_ms,
         )
 
-    def die(self) -> None:
-        self.host.up, self.host.life = False, self.host.life + 1
-        self.disk.die(self.play.world.random.random() < 0.5)
+    def crash(self) -> None:
+        self.host.is_up, self.host.incarnation = False, self.host.incarnation + 1
+        self.disk.crash(self.play.environment.random.random() < 0.5)
 
     def heard(self, sender: str, message: Any) -> None:
-        if self.voter is not None and isinstance(message, Letter):
-            self.voter.ask(sender, message)
+        if self.voter_host is not None and isinstance(message, Letter):
+            self.voter_host.ask(sender, message)
 
 
 class Asker:
@@ -94,24 +94,26 @@
     """It may die and come back as another."""
 
     def __init__(self, play: Register, name: str) -> None:
-        self.play, self.name, self.host = play, name, Host(play.world, name, 0.01)
+        self.play, self.name, self.host = play, name, Host(play.environment, name, 0.01)
         self.asker: Asker | None = None
         self.start()
 
     def start(self) -> None:
         name = self.name
-        self.host.up, self.host.life = True, self.host.life + 1
+        self.host.is_up, self.host.incarnation = True, self.host.incarnation + 1
         self.calls = Calls(30.0, lambda to, asked: self.play.send(name, to, asked))
-        ident, chance = f"{self.name}/{self.host.life}", self.play.world.random.random
+        ident, chance = f"{self.name}/{self.host.incarnation}", self.play.environment.random.random
         self.proposer = Proposer(ident, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0)
         last = self.asker.last if self.asker is not None else EMPTY_RECORD
         self.asker = Asker(self.proposer, self.play.history, chance, last)
         if self.play.plant is not None:
             self.play.plant(self)
-        self.host.later(self.play.world.now + self.play.world.random.uniform(0.0, 20.0), self.next)
+        self.host.run_at(
+            self.play.environment.now + self.play.environment.random.uniform(0.0, 20.0), self.next
+        )
 
     def next(self) -> None:
-        play, now = self.play, self.play.world.now
+        play, now = self.play, self.play.environment.now
         if play.left <= 0 or self.asker is None:
             return
         play.left -= 1
@@ -120,27 +122,27 @@
         self.tick()
 
     def done(self, op: Op, outcome: Outcome) -> None:
-        now = self.play.world.now
+        now = self.play.environment.now
         if self.asker is not None:
             self.asker.done(op, outcome, now)
-        self.host.later(now + self.play.world.random.uniform(0.0, 25.0), self.next)
+        self.host.run_at(now + self.play.environment.random.uniform(0.0, 25.0), self.next)
 
     def heard(self, sender: str, message: Any) -> None:
         if isinstance(message, Voted):
-            self.calls.heard(sender, message, self.play.world.now)
+            self.calls.heard(sender, message, self.play.environment.now)
             self.tick()
 
     def tick(self) -> None:
-        self.calls.tick(self.play.world.now)
+        self.calls.tick(self.play.environment.now)
         if self.calls.pending:
-            self.host.later(max(self.calls.due(), self.play.world.now + 0.5), self.tick)
+            self.host.run_at(max(self.calls.due(), self.play.environment.now + 0.5), self.tick)
 
 
 class Changer(Client):
     """Replaces voters again and again, and dies on the way at times."""
 
     def next(self) -> None:
-        play, random = self.play, self.play.world.random
+        play, random = self.play, self.play.environment.random
         if play.left <= 0:
             return
         now, there = list(self.proposer.roster.names), sorted(play.nodes)
@@ -149,12 +151,12 @@
             drop, add = [], []  # ends what stands half-way, as any member does after a while
         self.number = getattr(self, "number", 0) + 1
         token = f"{self.proposer.proposer_id}:{self.number}"
-        self.calls.start(reseat(self.proposer, drop, add, token), self.ended, play.world.now)
+        self.calls.start(reseat(self.proposer, drop, add, token), self.ended, play.environment.now)
         self.tick()
 
     def ended(self, how: Reseated, now: float) -> None:
         self.play.reseated += not how.wrong
-        self.host.later(now + self.play.world.random.uniform(0.0, 20.0), self.next)
+        self.host.run_at(now + self.play.environment.random.uniform(0.0, 20.0), self.next)
 
 
 @dataclass
@@ -180,8 +182,13 @@
         change: bool = False,
     ) -> None:
         self.change, self.reseated = change, 0
-        self.world, self.trusted, self.plant, self.forget = World(seed), trusted, plant, forget
-        self.world.jitter, self.world.lose = 8.0, 0.05
+        self.environment, self.trusted, self.plant, self.forget = (
+            SimulatedEnvironment(seed),
+            trusted,
+            plant,
+            forget,
+        )
+        self.environment.jitter_ms, self.environment.loss_probability = 8.0, 0.05
         self.flush_ms = 1.0
         self.founders = ("v0", "v1", "v2")
         self.names = [f"v{i}" for i in range(5 if change else 3)]
@@ -195,20 +202,20 @@
         self.clients = {name: Client(self, name) for name in ("a", "b", "c")}
         if change:
             self.clients["d"] = Changer(self, "d")
-        self.world.at(10.0, self.fault)
+        self.environment.schedule(10.0, self.fault)
 
     def send(self, source: str, target: str, message: Message) -> None:
-        raw = PACKED.encode(message)
+        raw = ENCODER.encode(message)
         other: Any = self.nodes.get(target) or self.clients.get(target)
         if other is not None:
-            self.world.carry(source, target, len(raw), lambda: self._arrived(other, source, raw))
+            self.environment.transmit(source, target, len(raw), lambda: self._arrived(other, source, raw))
 
     def _arrived(self, other: Any, source: str, raw: bytes) -> None:
-        if other.host.up:
-            other.host.later(self.world.now, lambda: other.heard(source, UNPACK.decode(raw)))
+        if other.host.is_up:
+            other.host.run_at(self.environment.now, lambda: other.heard(source, DECODER.decode(raw)))
 
     def fault(self) -> None:
-        world, random = self.world, self.world.random
+        environment, random = self.environment, self.environment.random
         ms = random.uniform(5.0, 80.0)
         node = self.nodes[random.choice(self.names)]
         kinds = ["restart", "lost", "old", "cut", "slow", "client", "stop"]
@@ -219,47 +226,52 @@
             self.half(random.uniform(30.0, 200.0))
         elif kind == "client":
             client = random.choice(list(self.clients.values()))
-            client.host.up, client.host.life = False, client.host.life + 1
-            world.at(world.now + ms, lambda: client.start() if not client.host.up else None)
+            client.host.is_up, client.host.incarnation = False, client.host.incarnation + 1
+            environment.schedule(
+                environment.now + ms, lambda: client.start() if not client.host.is_up else None
+            )
         elif kind == "stop":
-            node.host.stopped_until = world.now + ms
+            node.host.paused_until = environment.now + ms
         elif kind in ("cut", "slow"):
             other = random.choice([*self.clients, *self.names])
             for link in ((node.name, other), (other, node.name)):
                 if kind == "cut":
-                    world.cut(*link, world.now + ms)
+                    environment.block_link(*link, environment.now + ms)
                 else:
-                    world.slow[link] = (world.now + ms, 60.0)
-        elif node.host.up and all(
-            one.host.up and one.voter is not None and one.voter.voter.voting for one in self.voters()
+                    environment.slow_links[link] = (environment.now + ms, 60.0)
+        elif node.host.is_up and all(
+            one.host.is_up and one.voter_host is not None and one.voter_host.voter.voting
+            for one in self.voters()
         ):
             # One memory lost at a time: what two have lost together nobody can know.
-            node.die()
-            if kind == "lost" or (kind == "old" and not node.disk.copies):
+            node.crash()
+            if kind == "lost" or (kind == "old" and not node.disk.older_images):
                 node.disk.image = None if not self.trusted or kind == "lost" else node.disk.image
             elif kind == "old" and not self.trusted:
-                node.disk.image = random.choice(node.disk.copies)
+                node.disk.image = random.choice(node.disk.older_images)
             if self.forget and node.disk.image is None:
                 node.disk.image = encode(Memory("", node.name, 0, {}, {}, founding_voter_set(self.founders)))
-            world.at(world.now + ms, lambda: node.start(self.trusted or self.forget))
-        world.at(world.now + random.expovariate(1.0 / 25.0), self.fault)
+            environment.schedule(environment.now + ms, lambda: node.start(self.trusted or self.forget))
+        environment.schedule(environment.now + random.expovariate(1.0 / 25.0), self.fault)
 
     def roster(self) -> Roster:
-        return newest(one.voter.voter for one in self.nodes.values() if one.voter is not None)
+        return newest_voter_set(
+            one.voter_host.voter for one in self.nodes.values() if one.voter_host is not None
+        )
 
     def voters(self) -> list[Node]:
         return [self.nodes[name] for name in self.roster().names]
 
     def half(self, ms: float) -> None:
         names = sorted([*self.nodes, *self.clients])
-        side = set(self.world.random.sample(names, len(names) // 2))
+        side = set(self.environment.random.sample(names, len(names) // 2))
         for a in names:
             for b in names:
                 if (a in side) != (b in side):
-                    self.world.cut(a, b, self.world.now + ms)
+                    self.environment.block_link(a, b, self.environment.now + ms)
 
     def run(self) -> Judged:
-        self.world.run(4000.0)
+        self.environment.run(4000.0)
         ok = judged(self.history)
         known = sum(op.end != float("inf") for op in self.history)
         return Judged(0, ok, len(self.history), known, self.history, self.reseated, self.roster().number)
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -23,7 +23,7 @@
     MembershipTiming,
     Outgoing,
 )
-from rig.multi_node.environment import World
+from rig.multi_node.environment import SimulatedEnvironment
 
 TIMING = MembershipTiming(
     probe_interval_ms=500.0,
@@ -218,7 +218,7 @@
     """The membership decisions of `count` members on the virtual clock."""
 
     def __init__(self, count: int, seed: int) -> None:
-        self.world = World(seed)
+        self.world = SimulatedEnvironment(seed)
         names = [f"n{i}" for i in range(count)]
         self.running = set(names)
         seeds = {"n0": ADDRESS, "n1": ADDRESS}
@@ -231,11 +231,11 @@
         membership = self.memberships[name]
         if name in self.running:
             self.send(name, membership.tick(self.world.now))
-        self.world.at(max(membership.due(), self.world.now + 10.0), lambda: self.tick(name))
+        self.world.schedule(max(membership.due(), self.world.now + 10.0), lambda: self.tick(name))
 
     def send(self, source: str, sends: list[Outgoing]) -> None:
         for to, message in sends:
-            self.world.carry(
+            self.world.transmit(
                 source, to, 100, lambda to=to, message=message: self.deliver(source, to, message)
             )
 
@@ -267,9 +267,9 @@
     for count in (5, 20, 50):
         cluster = Cluster(count, 2)
         cluster.world.run(20_000.0)
-        before = cluster.world.messages
+        before = cluster.world.message_count
         cluster.world.run(40_000.0)
-        rates.append((cluster.world.messages - before) / count / 20.0)
+        rates.append((cluster.world.message_count - before) / count / 20.0)
     assert max(rates) < 1.3 * min(rates), rates
 
 
@@ -279,8 +279,8 @@
     names = sorted(cluster.running)
     for a in names[:5]:
         for b in names[5:]:
-            cluster.world.cut(a, b, 40_000.0)
-            cluster.world.cut(b, a, 40_000.0)
+            cluster.world.block_link(a, b, 40_000.0)
+            cluster.world.block_link(b, a, 40_000.0)
     cluster.world.run(39_000.0)
     assert cluster.memberships[names[0]].active() == names[:5]
     cluster.world.run(70_000.0)
