--- a/rig/multi_node/checkers.py
+++ b/rig/multi_node/checkers.py
@@ -1,5 +1,5 @@
-"""What stands outside the fleet and judges it: the resource that takes its effects, and a checker of
-histories."""
+"""Checkers outside the fleet: the resource that receives its effects, a record of the times without a
+majority, and a linearizability checker of histories."""
 
 from __future__ import annotations
 
@@ -8,9 +8,13 @@
 
 from myrtlecrank.fleet.step_scheduler import Effect
 
+MAX_SAMPLING_GAP_MS = 100.0  # samples further apart than this belong to separate intervals
+
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AppliedEffect:
+    """One effect that the resource applied, and when."""
+
     at: float
     duty: str
     epoch: int
@@ -20,152 +24,158 @@
 
 @dataclass
 class Resource:
-    """Takes effects in the order in which they come. With its fence it refuses an epoch older than the newest
-    that it met and answers a step that it has without doing it again; without, it does all it hears."""
+    """Receives effects in the order in which they arrive.
+
+    With its fence it rejects an epoch older than the newest that it met, and acknowledges a step that it has
+    without applying it again. Without the fence it applies every effect."""
 
     fence: bool = True
-    newest: dict[str, int] = field(default_factory=dict)
-    last: dict[str, int] = field(default_factory=dict)
-    taken: list[Taken] = field(default_factory=list)
+    newest_epoch: dict[str, int] = field(default_factory=dict)
+    last_step: dict[str, int] = field(default_factory=dict)
+    applied: list[AppliedEffect] = field(default_factory=list)
     late_offered: int = 0
-    late_taken: int = 0
+    late_applied: int = 0
     again_offered: int = 0
     steps_twice: int = 0
 
-    def offered(self, at: float, owner: str, effect: Effect) -> bool:
-        """What the owner hears: its step is done, now or before."""
+    def offer(self, at: float, owner: str, effect: Effect) -> bool:
+        """Returns the answer to the owner: whether its step is applied, now or before."""
         duty = effect.duty
-        late = effect.epoch < self.newest.get(duty, 0)
-        again = effect.step <= self.last.get(duty, 0)
-        self.late_offered += late
-        self.again_offered += again and not late
-        if self.fence and late:
+        is_late = effect.epoch < self.newest_epoch.get(duty, 0)
+        is_again = effect.step <= self.last_step.get(duty, 0)
+        self.late_offered += is_late
+        self.again_offered += is_again and not is_late
+        if self.fence and is_late:
             return False
-        self.newest[duty] = max(effect.epoch, self.newest.get(duty, 0))
-        if self.fence and again:
+        self.newest_epoch[duty] = max(effect.epoch, self.newest_epoch.get(duty, 0))
+        if self.fence and is_again:
             return True
-        self.late_taken += late
-        self.steps_twice += again
-        self.last[duty] = max(effect.step, self.last.get(duty, 0))
-        self.taken.append(Taken(at, duty, effect.epoch, effect.step, owner))
+        self.late_applied += is_late
+        self.steps_twice += is_again
+        self.last_step[duty] = max(effect.step, self.last_step.get(duty, 0))
+        self.applied.append(AppliedEffect(at, duty, effect.epoch, effect.step, owner))
         return True
 
     def steps_lost(self) -> int:
-        """Steps left out: a later one was taken without them."""
+        """Returns how many steps are missing before the last applied one of each duty."""
         lost = 0
-        for duty, last in self.last.items():
-            lost += last - len({one.step for one in self.taken if one.duty == duty})
+        for duty, last in self.last_step.items():
+            lost += last - len({effect.step for effect in self.applied if effect.duty == duty})
         return lost
 
     def figures(self) -> dict[str, float]:
-        """What it counted, by the names that results have."""
+        """Returns the counts under the names that results use."""
         return {
             "owners_at_once": self.owners_at_once(),
             "late_effects_offered": self.late_offered,
-            "late_effects_taken": self.late_taken,
-            "steps": sum(self.last.values()),
+            "late_effects_taken": self.late_applied,
+            "steps": sum(self.last_step.values()),
             "steps_again_offered": self.again_offered,
             "steps_lost": self.steps_lost(),
             "steps_twice": self.steps_twice,
         }
 
     def owners_at_once(self) -> int:
-        """The most owners of one duty that effects were taken from at one time."""
-        return at_once([(one.at, one.duty, f"{one.owner} {one.epoch}") for one in self.taken])
+        """Returns the largest number of owners of one duty whose effects were applied at the same time."""
+        return max_concurrent_actors(
+            [(effect.at, effect.duty, f"{effect.owner} {effect.epoch}") for effect in self.applied]
+        )
 
-    def gaps(self, begin: float, end: float, names: list[str]) -> list[tuple[float, float]]:
-        """For each duty, the times between effects one after another, from begin to end."""
+    def gaps(self, begin: float, end: float, duties: list[str]) -> list[tuple[float, float]]:
+        """Returns the intervals between consecutive effects of each duty, from begin to end."""
         found: list[tuple[float, float]] = []
-        for name in names:
-            times = [begin, *(one.at for one in self.taken if one.duty == name and one.at >= begin), end]
-            found += itertools.pairwise(times)
+        for duty in duties:
+            times = [effect.at for effect in self.applied if effect.duty == duty and effect.at >= begin]
+            found += itertools.pairwise([begin, *times, end])
         return found
 
 
 @dataclass
-class Away:
-    """The times in which no member reached a majority of voters, as far as whoever makes the faults can
-    tell, and how much of a span lies outside them. `after`: ms that a taking needs once a majority is
-    back."""
+class MajorityOutages:
+    """The intervals in which no member reached a majority of voters, as far as the code that injects the
+    faults can tell. `recovery_ms`: how long a takeover needs once a majority is reachable again."""
 
-    after: float
-    spans: list[list[float]] = field(default_factory=list)
+    recovery_ms: float
+    intervals: list[list[float]] = field(default_factory=list)
 
-    def look(self, now: float, reached: bool) -> None:
-        """Some times in 100 ms."""
-        if reached:
+    def sample(self, now: float, majority_reached: bool) -> None:
+        """Records one sample; called several times in MAX_SAMPLING_GAP_MS."""
+        if majority_reached:
             return
-        if not self.spans or self.spans[-1][1] < now - 100.0:
-            self.spans.append([now, now])
-        self.spans[-1][1] = now
-
-    def total(self) -> float:
-        return sum(last - first for first, last in self.spans)
-
-    def outside(self, begin: float, end: float) -> float:
-        left, reached = end - begin, begin
-        for first, last in self.spans:
-            first, last = max(first, reached), min(last + self.after, end)
+        if not self.intervals or self.intervals[-1][1] < now - MAX_SAMPLING_GAP_MS:
+            self.intervals.append([now, now])
+        self.intervals[-1][1] = now
+
+    def total_ms(self) -> float:
+        """Returns the sum of all outages, without the recovery times."""
+        return sum(last - first for first, last in self.intervals)
+
+    def available_ms(self, begin: float, end: float) -> float:
+        """Returns how much of the time from begin to end lies outside outages and their recovery times."""
+        available, counted_until = end - begin, begin
+        for first, last in self.intervals:
+            first, last = max(first, counted_until), min(last + self.recovery_ms, end)
             if last > first:
-                left -= last - first
-                reached = last
-        return max(0.0, left)
+                available -= last - first
+                counted_until = last
+        return max(0.0, available)
 
 
-def at_once(seen: list[tuple[float, str, str]]) -> int:
-    """The most that acted on one duty at one time: each counts from when it was first seen to act to the
-    last. `seen`: when, which duty, who."""
-    spans: dict[str, dict[str, list[float]]] = {}
-    for at, duty, who in seen:
-        spans.setdefault(duty, {}).setdefault(who, [at, at])[1] = at
+def max_concurrent_actors(actions: list[tuple[float, str, str]]) -> int:
+    """Returns the largest number of actors on one duty at the same time. An actor counts from its first
+    action to its last. `actions`: time, duty, actor."""
+    intervals: dict[str, dict[str, list[float]]] = {}
+    for at, duty, actor in actions:
+        intervals.setdefault(duty, {}).setdefault(actor, [at, at])[1] = at
     most = 0
-    for mine in spans.values():
-        for start, _ in mine.values():
-            most = max(most, sum(first <= start <= last for first, last in mine.values()))
+    for by_actor in intervals.values():
+        for start, _ in by_actor.values():
+            most = max(most, sum(first <= start <= last for first, last in by_actor.values()))
     return most
 
 
 @dataclass(slots=True)
-class Op:
-    """One call to the register as its caller saw it. `end` is infinite where its outcome is not known. `saw`
-    is the writer of the record that the caller was told of; `wrote` that of its own."""
+class Operation:
+    """One call to the register as its caller observed it. `end` is infinite if the outcome is unknown. `read`
+    is the writer of the record that the caller received, `base` the writer of the record that it changed, and
+    `written` the writer of its own record."""
 
     begin: float
     end: float
-    kind: str  # read, change or conflict; a change that may have happened is 'maybe'
-    saw: str = ""
-    over: str = ""
-    wrote: str = ""
-
-
-def linearizable(history: list[Op]) -> bool:
-    """Is there an order of all calls that a single register could have gone through, each taking effect
-    between its begin and its end? Exhaustive, after Wing and Gong (1993), remembering what was tried."""
-    ops = sorted(history, key=lambda op: op.begin)
-    whole = (1 << len(ops)) - 1
-    tried: set[tuple[int, str]] = set()
+    kind: str  # read, change or conflict; "maybe": a change whose outcome is unknown
+    read: str = ""
+    base: str = ""
+    written: str = ""
+
+
+def linearizable(history: list[Operation]) -> bool:
+    """Returns whether a single register could have executed all operations in some order, each taking effect
+    between its begin and its end. Exhaustive search after Wing and Gong (1993) with memoization."""
+    operations = sorted(history, key=lambda operation: operation.begin)
+    all_done = (1 << len(operations)) - 1
+    visited: set[tuple[int, str]] = set()
     stack = [(0, "")]
     while stack:
         done, state = stack.pop()
-        if done == whole:
+        if done == all_done:
             return True
-        if (done, state) in tried:
+        if (done, state) in visited:
             continue
-        tried.add((done, state))
-        left = [i for i in range(len(ops)) if not done >> i & 1]
-        first = min(ops[i].end for i in left)
-        for i in left:
-            op = ops[i]
-            if op.begin > first:
+        visited.add((done, state))
+        remaining = [i for i in range(len(operations)) if not done >> i & 1]
+        first_end = min(operations[i].end for i in remaining)
+        for i in remaining:
+            operation = operations[i]
+            if operation.begin > first_end:
                 break
             after = done | 1 << i
-            if op.kind in ("read", "conflict"):
-                if state == op.saw and (op.kind == "read" or state != op.over):
+            if operation.kind in ("read", "conflict"):
+                if state == operation.read and (operation.kind == "read" or state != operation.base):
                     stack.append((after, state))
-            elif op.kind == "change" and state == op.over:
-                stack.append((after, op.wrote))
-            elif op.kind == "maybe":
+            elif operation.kind == "change" and state == operation.base:
+                stack.append((after, operation.written))
+            elif operation.kind == "maybe":
                 stack.append((after, state))
-                if state == op.over:
-                    stack.append((after, op.wrote))
+                if state == operation.base:
+                    stack.append((after, operation.written))
     return False
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -14,7 +14,7 @@
 from myrtlecrank.fleet.register.reconfiguration import Reseated
 from myrtlecrank.fleet.register.voter_set import Roster
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
-from rig.multi_node.checkers import Away, Resource, at_once
+from rig.multi_node.checkers import MajorityOutages, Resource, max_concurrent_actors
 from rig.multi_node.environment import SimulatedEnvironment
 from rig.multi_node.member import Member, newest_voter_set
 
@@ -99,7 +99,7 @@
             one.peers = {other.name: other for other in self.members}
         self.script: list[tuple[float, str, str, float]] = []
         self.acted: list[tuple[float, str, str]] = []  # when it was decided, on which duty, by which owner
-        self.away = Away(self.config.lease_terms.wait + 2.0 * self.config.lease_terms.look)
+        self.away = MajorityOutages(self.config.lease_terms.wait + 2.0 * self.config.lease_terms.look)
         self.seed = seed
         self.voters_changed = 0
         if plant is not None:
@@ -128,7 +128,7 @@
         owner = member.fleet.owner_id
 
         def arrive() -> None:
-            taken = self.resource.offered(self.environment.now, owner, effect)
+            taken = self.resource.offer(self.environment.now, owner, effect)
             self.environment.transmit(
                 "resource", member.name, 20, lambda: self.answered(member, owner, effect, taken)
             )
@@ -150,7 +150,7 @@
         """Nobody can own anything while no member reaches a majority of voters that vote, both ways and
         within a round's time."""
         now = self.environment.now
-        self.away.look(now, any(self._reaches(one) for one in self.members))
+        self.away.sample(now, any(self._reaches(one) for one in self.members))
         self.environment.schedule(now + 25.0, self.look_around)
 
     def _runs(self, one: Member) -> bool:
@@ -308,18 +308,18 @@
         # An owner does a step every so often; what is longer without one, beyond a few tries, is unowned.
         usual = 3.0 * scene.step_every
         gaps = resource.gaps(4000.0, scene.length, names)
-        unowned = sum(max(0.0, self.away.outside(a, b) - usual) for a, b in gaps)
+        unowned = sum(max(0.0, self.away.available_ms(a, b) - usual) for a, b in gaps)
         changes = self._changes(names)
-        takeovers = sorted(self.away.outside(a, b) for a, b in changes)
+        takeovers = sorted(self.away.available_ms(a, b) for a, b in changes)
         p95 = takeovers[int(0.95 * (len(takeovers) - 1))] if takeovers else 0.0
-        last = {name: max((t.at for t in resource.taken if t.duty == name), default=0.0) for name in names}
+        last = {name: max((t.at for t in resource.applied if t.duty == name), default=0.0) for name in names}
         figures: dict[str, float] = {
-            "acting_at_once": at_once(self.acted),
+            "acting_at_once": max_concurrent_actors(self.acted),
             **resource.figures(),
             "takeover_s": round(p95 / 1000.0, 3),
             "unowned_share": round(unowned / ((scene.length - 4000.0) * len(names)), 4),
             "owner_changes": len(changes),
-            "majority_away_share": round(self.away.total() / scene.length, 4),
+            "majority_away_share": round(self.away.total_ms() / scene.length, 4),
             "voters_changed": self.voters_changed,
             "stuck": sum(scene.length - at > 3000.0 for at in last.values()),
             "faults": len(self.script),
@@ -327,7 +327,7 @@
                 self.environment.message_count / len(self.members) / scene.length * 1000.0, 1
             ),
         }
-        trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.taken]
+        trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.applied]
         wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures[key] > most]
         return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
 
@@ -335,7 +335,7 @@
         """For each change of a duty's owner: when the old one was last heard and the new one first."""
         found: list[tuple[float, float]] = []
         for name in names:
-            mine = [t for t in self.resource.taken if t.duty == name]
+            mine = [t for t in self.resource.applied if t.duty == name]
             found += [(a.at, b.at) for a, b in pairwise(mine) if a.owner != b.owner]
         return found
 
--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -21,7 +21,7 @@
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, VOTER_SET_KEY, Memory, Outcome, Record, Result
 from myrtlecrank.fleet.register.reconfiguration import Reseated
 from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
-from rig.multi_node.checkers import Op
+from rig.multi_node.checkers import Operation
 from rig.multi_node.member import DECODER, ENCODER, newest_voter_set
 from rig.multi_node.register_history import Asker, judged
 
@@ -74,8 +74,8 @@
             return
         play.left -= 1
         asker = self.asker
-        call, op = asker.next(play.now)
-        self.calls.start(call, lambda outcome, _: asker.done(op, outcome, play.now), play.now)
+        call, operation = asker.next(play.now)
+        self.calls.start(call, lambda outcome, _: asker.done(operation, outcome, play.now), play.now)
 
     def reseated(self, how: Reseated, _: float) -> None:
         self.play.reseated += not how.wrong
@@ -85,7 +85,7 @@
     def __init__(self, seed: int, loses: bool = False) -> None:
         self.random, self.loses = Random(seed), loses
         self.now, self.left, self.reseated, self.starts = 0.0, OPS, 0, 0
-        self.history: list[Op] = []
+        self.history: list[Operation] = []
         self.bag: list[Sent] = []
         self.images: dict[str, bytes] = {
             name: encode(Memory("", name, 0, {}, {}, founding_voter_set(FOUNDERS))) for name in FOUNDERS
@@ -167,7 +167,7 @@
                 break
             self.now += 1.0
             self.event()
-        known = sum(op.end != float("inf") for op in self.history)
+        known = sum(operation.end != float("inf") for operation in self.history)
         return Shuffled(judged(self.history), known, self.reseated)
 
 
--- a/rig/multi_node/register_history.py
+++ b/rig/multi_node/register_history.py
@@ -16,7 +16,7 @@
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Memory, Outcome, Record, Result
 from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
 from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
-from rig.multi_node.checkers import Op, linearizable
+from rig.multi_node.checkers import Operation, linearizable
 from rig.multi_node.environment import Host, SimulatedEnvironment
 from rig.multi_node.member import DECODER, ENCODER, Disk, VoterHost, newest_voter_set
 
@@ -56,37 +56,46 @@
     what it last saw."""
 
     def __init__(
-        self, proposer: Proposer, history: list[Op], chance: Callable[[], float], last: Record = EMPTY_RECORD
+        self,
+        proposer: Proposer,
+        history: list[Operation],
+        chance: Callable[[], float],
+        last: Record = EMPTY_RECORD,
     ) -> None:
         self.proposer, self.history, self.chance, self.last = proposer, history, chance, last
 
-    def next(self, now: float) -> tuple[Call, Op]:
+    def next(self, now: float) -> tuple[Call, Operation]:
         if self.chance() < 0.4:
-            op = Op(now, float("inf"), "unseen")
+            operation = Operation(now, float("inf"), "unseen")
             call = self.proposer.read(KEY)
         else:
             writer = f"{self.proposer.proposer_id}:{self.proposer.call_count + 1}"
-            op = Op(now, float("inf"), "maybe", over=self.last.writer, wrote=writer)
+            operation = Operation(now, float("inf"), "maybe", base=self.last.writer, written=writer)
             call = self.proposer.change(KEY, self.last, b"x")
-        self.history.append(op)
-        return call, op
+        self.history.append(operation)
+        return call, operation
 
-    def done(self, op: Op, outcome: Outcome, now: float) -> None:
+    def done(self, operation: Operation, outcome: Outcome, now: float) -> None:
         result = outcome.result
         if result is Result.DONE:
-            op.end, op.saw, self.last = now, outcome.record.writer, outcome.record
-            op.kind = "read" if op.kind == "unseen" else "change"
+            operation.end, operation.read, self.last = now, outcome.record.writer, outcome.record
+            operation.kind = "read" if operation.kind == "unseen" else "change"
         elif result is Result.CONFLICT:
-            op.end, op.kind, op.saw, self.last = now, "conflict", outcome.record.writer, outcome.record
+            operation.end, operation.kind, operation.read, self.last = (
+                now,
+                "conflict",
+                outcome.record.writer,
+                outcome.record,
+            )
         elif result is Result.AWAY:
-            self.history.remove(op)  # nothing was proposed
+            self.history.remove(operation)  # nothing was proposed
 
 
-def judged(history: list[Op]) -> bool:
-    for op in history:
-        if op.kind == "unseen":
-            op.kind = "maybe"  # a read that nobody heard of says nothing
-            op.over = "never"
+def judged(history: list[Operation]) -> bool:
+    for operation in history:
+        if operation.kind == "unseen":
+            operation.kind = "maybe"  # a read that nobody heard of says nothing
+            operation.base = "never"
     return linearizable(history)
 
 
@@ -102,8 +111,10 @@
         name = self.name
         self.host.is_up, self.host.incarnation = True, self.host.incarnation + 1
         self.calls = Calls(30.0, lambda to, asked: self.play.send(name, to, asked))
-        ident, chance = f"{self.name}/{self.host.incarnation}", self.play.environment.random.random
-        self.proposer = Proposer(ident, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0)
+        instance_id, chance = f"{self.name}/{self.host.incarnation}", self.play.environment.random.random
+        self.proposer = Proposer(
+            instance_id, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0
+        )
         last = self.asker.last if self.asker is not None else EMPTY_RECORD
         self.asker = Asker(self.proposer, self.play.history, chance, last)
         if self.play.plant is not None:
@@ -117,14 +128,14 @@
         if play.left <= 0 or self.asker is None:
             return
         play.left -= 1
-        call, op = self.asker.next(now)
-        self.calls.start(call, lambda outcome, _: self.done(op, outcome), now)
+        call, operation = self.asker.next(now)
+        self.calls.start(call, lambda outcome, _: self.done(operation, outcome), now)
         self.tick()
 
-    def done(self, op: Op, outcome: Outcome) -> None:
+    def done(self, operation: Operation, outcome: Outcome) -> None:
         now = self.play.environment.now
         if self.asker is not None:
-            self.asker.done(op, outcome, now)
+            self.asker.done(operation, outcome, now)
         self.host.run_at(now + self.play.environment.random.uniform(0.0, 25.0), self.next)
 
     def heard(self, sender: str, message: Any) -> None:
@@ -165,7 +176,7 @@
     ok: bool
     ops: int
     known: int
-    history: list[Op]
+    history: list[Operation]
     reseated: int = 0
     roster: int = 0  # number of the newest at the end
 
@@ -192,7 +203,7 @@
         self.flush_ms = 1.0
         self.founders = ("v0", "v1", "v2")
         self.names = [f"v{i}" for i in range(5 if change else 3)]
-        self.history: list[Op] = []
+        self.history: list[Operation] = []
         self.left = 28 if change else 16
         self.nodes = {name: Node(self, name) for name in self.names}
         for name, node in self.nodes.items():
@@ -273,7 +284,7 @@
     def run(self) -> Judged:
         self.environment.run(4000.0)
         ok = judged(self.history)
-        known = sum(op.end != float("inf") for op in self.history)
+        known = sum(operation.end != float("inf") for operation in self.history)
         return Judged(0, ok, len(self.history), known, self.history, self.reseated, self.roster().number)
 
 
--- a/rig/processes/ownership_experiment.py
+++ b/rig/processes/ownership_experiment.py
@@ -24,7 +24,7 @@
 from gevent import socket
 
 from myrtlecrank.fleet.step_scheduler import Effect
-from rig.multi_node.checkers import Away, Resource
+from rig.multi_node.checkers import MajorityOutages, Resource
 from rig.multi_node.ownership_experiment import AIMS, Played
 from rig.processes.backend_process import GAUGES, ROOT, free_address
 from rig.processes.proxy import Proxy
@@ -131,7 +131,7 @@
                 line, buffer = buffer.split(b"\n", 1)
                 step = orjson.loads(line)
                 effect = Effect(step["duty"], step["epoch"], step["step"], 0.0)
-                taken = self.resource.offered(self.now(), step["owner"], effect)
+                taken = self.resource.offer(self.now(), step["owner"], effect)
                 sock.sendall(b'{"taken":true}\n' if taken else b'{"taken":false}\n')
 
 
@@ -225,7 +225,7 @@
         self.is_replacing = False
         # One loss a run: a second could come before the first voter has rejoined.
         self.disk_was_lost = False
-        self.unavailability = Away(TAKEOVER_MS)
+        self.unavailability = MajorityOutages(TAKEOVER_MS)
 
     def _operators(self, me: str, names: list[str], homes: dict[str, tuple[str, int]]) -> str:
         """Returns the operators' file of a member, with the proxies as its peers' addresses."""
@@ -323,7 +323,7 @@
     def sample_reachability(self) -> None:
         """Samples from outside whether a running member reaches a majority of voters over links that work."""
         while True:
-            self.unavailability.look(
+            self.unavailability.sample(
                 self.stands.now(), any(self._reaches_majorities(name) for name in self.backends)
             )
             gevent.sleep(SAMPLING_INTERVAL_S)
@@ -386,7 +386,7 @@
             self.backends[name].found()
         for backend in self.backends.values():
             backend.start()
-        self.wait(lambda: len(self.stands.resource.last) == len(self.duties))
+        self.wait(lambda: len(self.stands.resource.last_step) == len(self.duties))
         if self.trusts_disk:
             return
         # A starting voter asks all others: if one ends before the last has its answer, the last must wait.
@@ -401,7 +401,7 @@
 
     def owner(self, duty: str) -> str:
         """Returns the owner whose step the resource took last."""
-        return next(t.owner for t in reversed(self.stands.resource.taken) if t.duty == duty).split("/")[0]
+        return next(t.owner for t in reversed(self.stands.resource.applied) if t.duty == duty).split("/")[0]
 
     def finish(self) -> None:
         """Kills all processes and closes the links."""
@@ -432,11 +432,11 @@
         end = stand_ins.now()
         usual_gap_ms = 4.0 * STEP_MS
         gaps = resource.gaps(began, end, self.duties)
-        unowned = sum(max(0.0, self.unavailability.outside(a, b) - usual_gap_ms) for a, b in gaps)
+        unowned = sum(max(0.0, self.unavailability.available_ms(a, b) - usual_gap_ms) for a, b in gaps)
         changes = [
-            self.unavailability.outside(a.at, b.at)
+            self.unavailability.available_ms(a.at, b.at)
             for duty in self.duties
-            for a, b in pairwise([t for t in resource.taken if t.duty == duty])
+            for a, b in pairwise([t for t in resource.applied if t.duty == duty])
             if a.owner != b.owner
         ]
         changes.sort()
@@ -445,10 +445,10 @@
             "takeover_s": round(changes[int(0.95 * (len(changes) - 1))] / 1000.0, 3) if changes else 0.0,
             "unowned_share": round(unowned / ((end - began) * len(self.duties)), 4),
             "owner_changes": len(changes),
-            "majority_away_share": round(self.unavailability.total() / (end - began), 4),
+            "majority_away_share": round(self.unavailability.total_ms() / (end - began), 4),
             "voters_changed": self.voters_changed,
             "stuck": sum(
-                end - max(t.at for t in resource.taken if t.duty == one) > STUCK_AFTER_MS
+                end - max(t.at for t in resource.applied if t.duty == one) > STUCK_AFTER_MS
                 for one in self.duties
             ),
             "faults": len(self.script),
@@ -458,7 +458,7 @@
                 / (end / 1000.0)
             ),
         }
-        trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.taken]
+        trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.applied]
         wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures.get(key, 0) > most]
         return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
 
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -36,7 +36,7 @@
 from myrtlecrank.fleet.register.sqlite import SqliteRegister
 from myrtlecrank.fleet.register.voter_set import founding_voter_set
 from rig.multi_node import register_history
-from rig.multi_node.checkers import Op, linearizable
+from rig.multi_node.checkers import Operation, linearizable
 from rig.multi_node.register_model_check import Walk
 
 NAMES = ("a", "b", "c")
@@ -424,13 +424,15 @@
 
 
 def test_the_checker_refuses_histories_that_are_not_linearizable() -> None:
-    write = Op(0, 1, "change", wrote="x")
-    assert linearizable([write, Op(2, 3, "read", saw="x")])
-    assert not linearizable([write, Op(2, 3, "read", saw="")]), "a stale read"
-    assert not linearizable([write, Op(2, 3, "change", over="", wrote="y")]), "two changes over one record"
-    assert linearizable([Op(0, float("inf"), "maybe", wrote="x"), Op(2, 3, "read", saw="")])
-    seen_then_not = [Op(2, 3, "read", saw="x"), Op(4, 5, "read", saw="")]
-    assert not linearizable([Op(0, float("inf"), "maybe", wrote="x"), *seen_then_not])
+    write = Operation(0, 1, "change", written="x")
+    assert linearizable([write, Operation(2, 3, "read", read="x")])
+    assert not linearizable([write, Operation(2, 3, "read", read="")]), "a stale read"
+    assert not linearizable([write, Operation(2, 3, "change", base="", written="y")]), (
+        "two changes over one record"
+    )
+    assert linearizable([Operation(0, float("inf"), "maybe", written="x"), Operation(2, 3, "read", read="")])
+    seen_then_not = [Operation(2, 3, "read", read="x"), Operation(4, 5, "read", read="")]
+    assert not linearizable([Operation(0, float("inf"), "maybe", written="x"), *seen_then_not])
 
 
 @pytest.mark.parametrize("trusted", [False, True])
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -6,7 +6,7 @@
 import pytest
 
 from myrtlecrank.fleet.step_scheduler import Effect
-from rig.multi_node.checkers import Away, Resource
+from rig.multi_node.checkers import MajorityOutages, Resource
 from rig.multi_node.ownership_experiment import Scene, play
 from rig.multi_node.planted_faults import BUGS
 
@@ -15,19 +15,19 @@
     resource = Resource()
     offers = [("a", 1, 1), ("b", 2, 1), ("b", 2, 2), ("a", 1, 2), ("b", 2, 4)]
     answers = [
-        resource.offered(float(i), owner, Effect("d", epoch, step, 0.0))
+        resource.offer(float(i), owner, Effect("d", epoch, step, 0.0))
         for i, (owner, epoch, step) in enumerate(offers)
     ]
     assert answers == [True, True, True, False, True]
-    assert (resource.late_offered, resource.late_taken, resource.again_offered) == (1, 0, 1)
+    assert (resource.late_offered, resource.late_applied, resource.again_offered) == (1, 0, 1)
     assert resource.steps_lost() == 1 and resource.owners_at_once() == 1
 
 
 def test_owners_whose_effects_interleave_count_as_two() -> None:
     resource = Resource(fence=False)
     for i, (owner, epoch) in enumerate([("a", 1), ("b", 2), ("a", 1), ("b", 2)]):
-        resource.offered(float(i), owner, Effect("d", epoch, i + 1, 0.0))
-    assert resource.owners_at_once() == 2 and resource.late_taken == 1
+        resource.offer(float(i), owner, Effect("d", epoch, i + 1, 0.0))
+    assert resource.owners_at_once() == 2 and resource.late_applied == 1
 
 
 # The first seed with which each injected fault is detected.
@@ -72,10 +72,10 @@
 
 
 def test_time_outside_lost_majorities_excludes_the_takeover_after_them() -> None:
-    away = Away(50.0)
+    away = MajorityOutages(50.0)
     for now in range(0, 1000, 25):
-        away.look(float(now), not (200 <= now <= 300 or 600 <= now <= 625))
-    assert away.spans == [[200.0, 300.0], [600.0, 625.0]] and away.total() == 125.0
-    assert away.outside(0.0, 1000.0) == 1000.0 - 150.0 - 75.0
-    assert away.outside(250.0, 340.0) == 0.0 and away.outside(325.0, 500.0) == 150.0
-    assert Away(50.0).outside(1.0, 3.0) == 2.0
+        away.sample(float(now), not (200 <= now <= 300 or 600 <= now <= 625))
+    assert away.intervals == [[200.0, 300.0], [600.0, 625.0]] and away.total_ms() == 125.0
+    assert away.available_ms(0.0, 1000.0) == 1000.0 - 150.0 - 75.0
+    assert away.available_ms(250.0, 340.0) == 0.0 and away.available_ms(325.0, 500.0) == 150.0
+    assert MajorityOutages(50.0).available_ms(1.0, 3.0) == 2.0
