--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -10,7 +10,7 @@
 import sys
 import time
 
-from rig.multi_node.ownership_experiment import Play, Scene
+from rig.multi_node.ownership_experiment import Scenario, Simulation
 
 LEASE_MS = 2000.0  # the default of [fleet]
 STEP_EVERY_MS = 1000.0  # the default of [fleet.duties.NAME]
@@ -19,15 +19,15 @@
 
 def cost(members: int, watch_ms: float) -> str:
     """Runs one fleet and returns its cost as a line of text."""
-    scene = Scene(
+    scene = Scenario(
         members=members,
-        length=LENGTH_MS,
+        length_ms=LENGTH_MS,
         faults=False,
-        lease=LEASE_MS,
-        step_every=STEP_EVERY_MS,
-        watch=watch_ms,
+        lease_ms=LEASE_MS,
+        step_interval_ms=STEP_EVERY_MS,
+        poll_interval_ms=watch_ms,
     )
-    play = Play(1, scene)
+    play = Simulation(1, scene)
     before = time.process_time()
     play.run()
     cpu = time.process_time() - before
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -116,18 +116,18 @@
     name: str, seed: int, virtual: bool, bug: str | None, reseats: bool, quick: bool, out: Path | None
 ) -> None:
     from rig.multi_node import ownership_experiment
-    from rig.multi_node.planted_faults import BUGS
+    from rig.multi_node.planted_faults import INJECTED_FAULTS
 
-    known = ["fence", *BUGS] if virtual else ["fence", "wall-time"]
+    known = ["fence", *INJECTED_FAULTS] if virtual else ["fence", "wall-time"]
     if bug is not None and bug not in known:
         click.echo(f"unknown --bug {bug!r}; expected one of {', '.join(known)}", err=True)
         sys.exit(2)
     try:
         if virtual:
-            scene = ownership_experiment.Scene(
-                length=30_000.0 if quick else 60_000.0, fence=bug != "fence", reseats=reseats
+            scene = ownership_experiment.Scenario(
+                length_ms=30_000.0 if quick else 60_000.0, fence=bug != "fence", reseats=reseats
             )
-            one = ownership_experiment.play(seed, scene, BUGS.get(bug or ""))
+            one = ownership_experiment.play(seed, scene, INJECTED_FAULTS.get(bug or ""))
         else:
             from rig.processes.ownership_experiment import run_experiment as run_real
 
@@ -141,7 +141,9 @@
     except (OSError, gevent.Timeout) as error:
         click.echo(f"run failed: {error}", err=True)
         sys.exit(2)
-    rules = {key: int(one.figures.get(key, 0) > most) for key, most in ownership_experiment.AIMS.items()}
+    rules = {
+        key: int(one.figures.get(key, 0) > most) for key, most in ownership_experiment.FIGURE_LIMITS.items()
+    }
     line: dict[str, Any] = {
         "experiment": name,
         "seed": seed,
@@ -160,9 +162,9 @@
         draw(one, out, title[2:])
         (out / "table.md").write_text(f"{title}\n\n| figure | value |\n| --- | --- |\n{rows}\n")
     click.echo(json.dumps(line))
-    if one.first_break:
-        click.echo(f"seed {seed}: {one.first_break}", err=True)
-    sys.exit(1 if one.first_break else 0)
+    if one.violations:
+        click.echo(f"seed {seed}: {one.violations}", err=True)
+    sys.exit(1 if one.violations else 0)
 
 
 def _job(job: tuple[str, str, str, int, dict[str, Any], bool, bool]) -> tuple[str, ExperimentResult]:
--- a/rig/multi_node/chart.py
+++ b/rig/multi_node/chart.py
@@ -1,4 +1,4 @@
-"""A play of a fleet as a picture: who acted on which duty when, the faults above it."""
+"""Chart of one play of fleet-owner: which member acted on each duty over time, and the injected faults."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
 
-from rig.multi_node.ownership_experiment import Played
+from rig.multi_node.ownership_experiment import PlayResult
 
-GAP_S = 0.6  # longer without a step than this is drawn as a gap
+MIN_GAP_S = 0.6  # longer intervals without a step are drawn as a gap
 
 
-def draw(played: Played, out: Path, title: str) -> None:
-    """`out`: the folder for chart.png."""
+def draw(played: PlayResult, out: Path, title: str) -> None:
+    """Writes chart.png into the folder `out`."""
     duties = sorted({duty for _, duty, _, _, _ in played.trace})
     members = sorted({owner.split("/")[0] for _, _, _, _, owner in played.trace})
     colour = {name: plt.get_cmap("tab10")(i % 10) for i, name in enumerate(members)}
@@ -24,7 +24,7 @@
         taken = [(at / 1000.0, owner) for at, name, _, _, owner in played.trace if name == duty]
         begin, last, owner = taken[0][0], taken[0][0], taken[0][1]
         for at, who in [*taken[1:], (float("inf"), "")]:
-            if who != owner or at - last > GAP_S:
+            if who != owner or at - last > MIN_GAP_S:
                 axes.broken_barh(
                     [(begin, max(0.05, last - begin))], (row - 0.35, 0.7), color=colour[owner.split("/")[0]]
                 )
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -1,4 +1,4 @@
-"""The experiment fleet-owner on the virtual clock: members, voters and duties between faults drawn from the
+"""The experiment fleet-owner on the virtual clock: members, voters and duties under faults drawn from the
 seed."""
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from rig.multi_node.member import Member, newest_voter_set
 
 DRIFT = 0.01
-STOP_IN_WRITE = 0.003  # share of effects with a stop between the look at the lease and the bytes
-PACE = MembershipTiming(
+PAUSE_IN_WRITE_SHARE = 0.003  # effects with a pause between the check of the lease and the write
+MEMBERSHIP_TIMING = MembershipTiming(
     probe_interval_ms=500.0,
     probe_reply_ms=150.0,
     helpers=3,
@@ -28,31 +28,36 @@
     forget_ms=60_000.0,
     exchange_interval_ms=5000.0,
 )
-LONG = 60_000.0  # ms of one play; 30,000 with --quick
+LENGTH_MS = 60_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
+    """Size, timing and faults of one play."""
+
     members: int = 5
     voters: int = 3
     duties: int = 4
-    length: float = LONG
+    length_ms: float = LENGTH_MS
     faults: bool = True
-    every: float = 3000.0  # ms between two faults, in the mean
-    step_every: float = 120.0
-    lease: float = 600.0
-    watch: float = 0.0  # ms between two views of the fleet
-    reseats: bool = False  # voters are replaced too
-    fence: bool = True  # of the resource; off only to see that its judge finds what comes late
+    fault_interval_ms: float = 3000.0  # mean
+    step_interval_ms: float = 120.0
+    lease_ms: float = 600.0
+    poll_interval_ms: float = 0.0  # of the fleet monitor; 0: off
+    reseats: bool = False  # inject changes of the voters too
+    fence: bool = True  # of the resource; off only to test that late effects are detected
 
 
 @dataclass
-class Played:
+class PlayResult:
+    """Figures of one play, its injected faults (time, kind, member, duration in ms), its applied
+    effects (time, duty, epoch, step, owner) and the violated limits."""
+
     seed: int
     figures: dict[str, float]
     script: list[tuple[float, str, str, float]]
     trace: list[tuple[float, str, int, int, str]] = field(default_factory=list)
-    first_break: str = ""
+    violations: str = ""
 
 
 FAULTS = (
@@ -73,24 +78,39 @@
     "flap",
     "clock",
 )
-AIMS = {"acting_at_once": 1, "owners_at_once": 1, "late_effects_taken": 0, "steps_lost": 0, "steps_twice": 0}
-
-
-def fleet_config(scene: Scene) -> FleetConfig:
-    voters = tuple(f"m{i}" for i in range(scene.voters))
-    works = tuple(DutySchedule(f"duty-{i}", scene.step_every, 400.0, 100.0) for i in range(scene.duties))
-    terms = Terms.of(scene.lease, DRIFT, scene.lease / 4.0)
-    return FleetConfig(voters, works, terms, PACE, 250.0, 3000.0, scene.watch)
-
-
-class Play:
-    def __init__(self, seed: int, scene: Scene, plant: Callable[[Play], None] | None = None) -> None:
-        self.scene, self.environment = scene, SimulatedEnvironment(seed)
-        if not scene.faults:
+FIGURE_LIMITS = {
+    "acting_at_once": 1,
+    "owners_at_once": 1,
+    "late_effects_taken": 0,
+    "steps_lost": 0,
+    "steps_twice": 0,
+}
+
+
+def fleet_config(scenario: Scenario) -> FleetConfig:
+    """Returns the configuration that all members share."""
+    voters = tuple(f"m{i}" for i in range(scenario.voters))
+    schedules = tuple(
+        DutySchedule(f"duty-{i}", scenario.step_interval_ms, 400.0, 100.0) for i in range(scenario.duties)
+    )
+    lease_terms = Terms.of(scenario.lease_ms, DRIFT, scenario.lease_ms / 4.0)
+    return FleetConfig(
+        voters, schedules, lease_terms, MEMBERSHIP_TIMING, 250.0, 3000.0, scenario.poll_interval_ms
+    )
+
+
+class Simulation:
+    """One play of the experiment. `inject_fault` changes the simulation before its members start."""
+
+    def __init__(
+        self, seed: int, scenario: Scenario, inject_fault: Callable[[Simulation], None] | None = None
+    ) -> None:
+        self.scenario, self.environment = scenario, SimulatedEnvironment(seed)
+        if not scenario.faults:
             self.environment.loss_probability = 0.0
-        self.config = fleet_config(scene)
-        self.resource = Resource(fence=scene.fence)
-        names = [f"m{i}" for i in range(scene.members)]
+        self.config = fleet_config(scenario)
+        self.resource = Resource(fence=scenario.fence)
+        names = [f"m{i}" for i in range(scenario.members)]
         self.members = [
             Member(self.environment, name, f"z{i % 3}", self.config, names, DRIFT, self.carry_out)
             for i, name in enumerate(names)
@@ -98,65 +118,67 @@
         for one in self.members:
             one.peers = {other.name: other for other in self.members}
         self.script: list[tuple[float, str, str, float]] = []
-        self.acted: list[tuple[float, str, str]] = []  # when it was decided, on which duty, by which owner
-        self.away = MajorityOutages(self.config.lease_terms.wait + 2.0 * self.config.lease_terms.look)
+        self.actions: list[tuple[float, str, str]] = []  # time of the decision, duty, owner
+        self.outages = MajorityOutages(self.config.lease_terms.wait + 2.0 * self.config.lease_terms.look)
         self.seed = seed
         self.voters_changed = 0
-        if plant is not None:
-            plant(self)
+        if inject_fault is not None:
+            inject_fault(self)
         for one in self.members:
             one.start()
-        self.look_around()
-        if scene.faults:
-            self.environment.schedule(5000.0, self.fault)
+        self.sample_majority()
+        if scenario.faults:
+            self.environment.schedule(5000.0, self.inject_next_fault)
 
     # -- effects on their way to the resource
 
     def carry_out(self, member: Member, effect: Effect) -> None:
+        """Starts the write of an effect, at times with a pause in it."""
         environment = self.environment
-        self.acted.append((environment.now, effect.duty, f"{member.fleet.owner_id} {effect.epoch}"))
-        if self.scene.faults and environment.random.random() < STOP_IN_WRITE:
-            # Stopped in the middle of the write: it has looked at its lease, and lets go of the bytes much
-            # later.
-            self.told(
-                "stop-in-write", member.name, ms := environment.random.uniform(500.0, 3.0 * self.scene.lease)
+        self.actions.append((environment.now, effect.duty, f"{member.fleet.owner_id} {effect.epoch}"))
+        if self.scenario.faults and environment.random.random() < PAUSE_IN_WRITE_SHARE:
+            # Paused during the write: the lease was checked, and the bytes leave much later.
+            self.record_fault(
+                "stop-in-write",
+                member.name,
+                ms := environment.random.uniform(500.0, 3.0 * self.scenario.lease_ms),
             )
             member.pause_for(ms)
-        member.host.run_at(environment.now + 0.2, lambda: self.let_go(member, effect))
+        member.host.run_at(environment.now + 0.2, lambda: self.send_effect(member, effect))
 
-    def let_go(self, member: Member, effect: Effect) -> None:
+    def send_effect(self, member: Member, effect: Effect) -> None:
         owner = member.fleet.owner_id
 
         def arrive() -> None:
             taken = self.resource.offer(self.environment.now, owner, effect)
             self.environment.transmit(
-                "resource", member.name, 20, lambda: self.answered(member, owner, effect, taken)
+                "resource", member.name, 20, lambda: self.deliver_answer(member, owner, effect, taken)
             )
 
         self.environment.transmit(member.name, "resource", 60, arrive)
 
-    def answered(self, member: Member, owner: str, effect: Effect, taken: bool) -> None:
-        def told() -> None:
+    def deliver_answer(self, member: Member, owner: str, effect: Effect, taken: bool) -> None:
+        def finish() -> None:
             if member.fleet.owner_id == owner:
                 member.fleet.finish_effect(effect, taken, member.host.clock())
                 member.tick()
 
         if member.host.is_up:
-            member.host.run_at(self.environment.now, told)
+            member.host.run_at(self.environment.now, finish)
 
-    # -- whether a majority is there to be had
+    # -- reachability of a majority
 
-    def look_around(self) -> None:
-        """Nobody can own anything while no member reaches a majority of voters that vote, both ways and
-        within a round's time."""
+    def sample_majority(self) -> None:
+        """Samples whether any member reaches a majority of voting voters, in both directions and within the
+        time of a round. Without one no member can own a duty."""
         now = self.environment.now
-        self.away.sample(now, any(self._reaches(one) for one in self.members))
-        self.environment.schedule(now + 25.0, self.look_around)
+        self.outages.sample(now, any(self._reaches_majority(one) for one in self.members))
+        self.environment.schedule(now + 25.0, self.sample_majority)
 
-    def _runs(self, one: Member) -> bool:
+    def _is_running(self, one: Member) -> bool:
         return one.host.is_up and one.host.paused_until <= self.environment.now
 
-    def _reaches(self, one: Member) -> bool:
+    def _reaches_majority(self, one: Member) -> bool:
         now = self.environment.now
 
         def through(a: Member, b: Member) -> bool:
@@ -168,16 +190,16 @@
             (v.name, v.voter_host.voter.memory.seat)
             for v in self.members
             if v.voter_host is not None
-            and self._runs(v)
+            and self._is_running(v)
             and v.voter_host.voter.voting
             and v.disk.full_until <= now
             and through(one, v)
             and through(v, one)
         ]
-        return self._runs(one) and self.roster().has_majority(reached)
+        return self._is_running(one) and self.roster().has_majority(reached)
 
     def roster(self) -> Roster:
-        """The newest that any voter goes by."""
+        """Returns the newest voter set that any voter uses."""
         return newest_voter_set(v.voter_host.voter for v in self.members if v.voter_host is not None)
 
     def voters(self) -> list[Member]:
@@ -186,29 +208,32 @@
 
     # -- faults
 
-    def told(self, kind: str, whom: str, ms: float) -> None:
-        self.script.append((round(self.environment.now, 1), kind, whom, round(ms, 1)))
+    def record_fault(self, kind: str, member_name: str, ms: float) -> None:
+        self.script.append((round(self.environment.now, 1), kind, member_name, round(ms, 1)))
 
-    def fault(self) -> None:
+    def inject_next_fault(self) -> None:
         environment, random = self.environment, self.environment.random
-        if environment.now > self.scene.length - 12_000.0:
-            return  # what comes after the last fault is judged too
+        if environment.now > self.scenario.length_ms - 12_000.0:
+            return  # the recovery after the last fault is checked too
         one = random.choice(self.members)
-        kind = random.choice(FAULTS + ("reseat",) * 8 if self.scene.reseats else FAULTS)
-        ms = random.uniform(200.0, 3.0 * self.scene.lease)
+        kind = random.choice(FAULTS + ("reseat",) * 8 if self.scenario.reseats else FAULTS)
+        ms = random.uniform(200.0, 3.0 * self.scenario.lease_ms)
         others = [other for other in self.members if other is not one]
         getattr(self, "_" + kind.replace("-", "_"))(one, others, ms)
-        self.told(kind, one.name, ms)
-        environment.schedule(environment.now + random.expovariate(1.0 / self.scene.every), self.fault)
+        self.record_fault(kind, one.name, ms)
+        environment.schedule(
+            environment.now + random.expovariate(1.0 / self.scenario.fault_interval_ms),
+            self.inject_next_fault,
+        )
 
-    def _back(self, one: Member, ms: float) -> None:
+    def _restart_after(self, one: Member, ms: float) -> None:
         self.environment.schedule(
             self.environment.now + ms, lambda: one.start() if not one.host.is_up else None
         )
 
     def _kill(self, one: Member, _: list[Member], ms: float) -> None:
         one.crash()
-        self._back(one, ms)
+        self._restart_after(one, ms)
 
     def _stop(self, one: Member, _: list[Member], ms: float) -> None:
         one.pause_for(ms)
@@ -222,7 +247,7 @@
             self.environment.block_link(other.name, one.name, self.environment.now + ms)
 
     def _cut_out(self, one: Member, others: list[Member], ms: float) -> None:
-        """One way: it hears all and none hears it."""
+        """Blocks one direction: the member receives messages, and its own are lost."""
         for other in others:
             self.environment.block_link(one.name, other.name, self.environment.now + ms)
 
@@ -234,8 +259,8 @@
                     self.environment.block_link(a.name, b.name, self.environment.now + ms)
 
     def _slow(self, one: Member, others: list[Member], ms: float) -> None:
-        """Slower than the lease, at times."""
-        more = self.environment.random.uniform(50.0, 1.5 * self.scene.lease)
+        """Delays messages, at times by more than the lease."""
+        more = self.environment.random.uniform(50.0, 1.5 * self.scenario.lease_ms)
         for other in others:
             for link in ((one.name, other.name), (other.name, one.name)):
                 self.environment.slow_links[link] = (self.environment.now + ms, more)
@@ -244,8 +269,8 @@
         one.disk.full_until = self.environment.now + ms
 
     def _all_vote(self) -> bool:
-        """One memory is lost at a time: what two have lost together nobody can know, and the register stands
-        still for good, as it should."""
+        """Only one voter may lose its state at a time: what two have lost together cannot be recovered, and
+        the register correctly stops for good."""
         voters = self.voters()
         return all(v.host.is_up and v.voter_host is not None and v.voter_host.voter.voting for v in voters)
 
@@ -254,17 +279,17 @@
         one.crash()
         if all_vote:
             one.disk.image = None
-        self._back(one, ms)
+        self._restart_after(one, ms)
 
     def _old_disk(self, one: Member, _: list[Member], ms: float) -> None:
         all_vote = self._all_vote()
         one.crash()
         if one.disk.older_images and all_vote:
             one.disk.image = self.environment.random.choice(one.disk.older_images)
-        self._back(one, ms)
+        self._restart_after(one, ms)
 
     def _reseat(self, one: Member, _: list[Member], ms: float) -> None:
-        """An operator at this member drops a voter and adds a member, which may be the same."""
+        """Replaces a voter by a member, which may be the same, as an operator at this member would."""
         if one.host.is_up and one.host.paused_until <= self.environment.now:
             voters = self.voters()
             drop = self.environment.random.choice(voters)
@@ -284,55 +309,56 @@
             self.environment.schedule(
                 self.environment.now + 400.0, lambda: one.crash() if one.fleet.is_leaving else None
             )
-            self._back(one, 400.0 + ms)
+            self._restart_after(one, 400.0 + ms)
 
     def _all_voters(self, one: Member, _: list[Member], ms: float) -> None:
         for voter in self.voters():
             voter.crash()
-            self._back(voter, ms * (0.2 + 0.1 * self.environment.random.random()))
+            self._restart_after(voter, ms * (0.2 + 0.1 * self.environment.random.random()))
 
     def _clock(self, one: Member, _: list[Member], ms: float) -> None:
-        """The wall clock goes an hour back or ahead."""
+        """Steps the wall clock by an hour, back or ahead."""
         one.host.wall_clock_step_ms += self.environment.random.choice([-3_600_000.0, 3_600_000.0])
 
     def _flap(self, one: Member, others: list[Member], ms: float) -> None:
         for i in range(12):
             self.environment.schedule(self.environment.now + 350.0 * i, lambda: self._cut(one, others, 170.0))
 
-    # -- the end
-
-    def run(self) -> Played:
-        scene, resource = self.scene, self.resource
-        self.environment.run(scene.length)
-        names = [work.name for work in self.config.schedules]
-        # An owner does a step every so often; what is longer without one, beyond a few tries, is unowned.
-        usual = 3.0 * scene.step_every
-        gaps = resource.gaps(4000.0, scene.length, names)
-        unowned = sum(max(0.0, self.away.available_ms(a, b) - usual) for a, b in gaps)
+    # -- results
+
+    def run(self) -> PlayResult:
+        """Runs the whole play and computes its figures."""
+        scenario, resource = self.scenario, self.resource
+        self.environment.run(scenario.length_ms)
+        names = [schedule.name for schedule in self.config.schedules]
+        # An owner does a step each interval. A longer gap is unowned time, beyond a few tries.
+        usual = 3.0 * scenario.step_interval_ms
+        gaps = resource.gaps(4000.0, scenario.length_ms, names)
+        unowned = sum(max(0.0, self.outages.available_ms(a, b) - usual) for a, b in gaps)
         changes = self._changes(names)
-        takeovers = sorted(self.away.available_ms(a, b) for a, b in changes)
+        takeovers = sorted(self.outages.available_ms(a, b) for a, b in changes)
         p95 = takeovers[int(0.95 * (len(takeovers) - 1))] if takeovers else 0.0
         last = {name: max((t.at for t in resource.applied if t.duty == name), default=0.0) for name in names}
         figures: dict[str, float] = {
-            "acting_at_once": max_concurrent_actors(self.acted),
+            "acting_at_once": max_concurrent_actors(self.actions),
             **resource.figures(),
             "takeover_s": round(p95 / 1000.0, 3),
-            "unowned_share": round(unowned / ((scene.length - 4000.0) * len(names)), 4),
+            "unowned_share": round(unowned / ((scenario.length_ms - 4000.0) * len(names)), 4),
             "owner_changes": len(changes),
-            "majority_away_share": round(self.away.total_ms() / scene.length, 4),
+            "majority_away_share": round(self.outages.total_ms() / scenario.length_ms, 4),
             "voters_changed": self.voters_changed,
-            "stuck": sum(scene.length - at > 3000.0 for at in last.values()),
+            "stuck": sum(scenario.length_ms - at > 3000.0 for at in last.values()),
             "faults": len(self.script),
             "messages_a_member_a_second": round(
-                self.environment.message_count / len(self.members) / scene.length * 1000.0, 1
+                self.environment.message_count / len(self.members) / scenario.length_ms * 1000.0, 1
             ),
         }
         trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.applied]
-        wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures[key] > most]
-        return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
+        wrong = [f"{key} {figures[key]:g}" for key, most in FIGURE_LIMITS.items() if figures[key] > most]
+        return PlayResult(self.seed, figures, self.script, trace, "; ".join(wrong))
 
     def _changes(self, names: list[str]) -> list[tuple[float, float]]:
-        """For each change of a duty's owner: when the old one was last heard and the new one first."""
+        """Returns for each change of owner the last effect of the old owner and the first of the new one."""
         found: list[tuple[float, float]] = []
         for name in names:
             mine = [t for t in self.resource.applied if t.duty == name]
@@ -340,5 +366,6 @@
         return found
 
 
-def play(seed: int, scene: Scene, plant: Callable[[Any], None] | None = None) -> Played:
-    return Play(seed, scene, plant).run()
+def play(seed: int, scenario: Scenario, inject_fault: Callable[[Any], None] | None = None) -> PlayResult:
+    """Runs one play."""
+    return Simulation(seed, scenario, inject_fault).run()
--- a/rig/multi_node/planted_faults.py
+++ b/rig/multi_node/planted_faults.py
@@ -1,5 +1,5 @@
-"""Planted bugs, each a mistake that programs of this kind are known for. A judge that finds none of them says
-nothing."""
+"""Injected faults for the ownership simulation, each a known mistake of lease implementations. They
+show that the checks detect real violations."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from myrtlecrank.fleet.register.voter_set import founding_voter_set
 from rig.multi_node.environment import Host
 from rig.multi_node.member import Member
-from rig.multi_node.ownership_experiment import Play
+from rig.multi_node.ownership_experiment import Simulation
 
 
-def swap(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
-    """Puts another function in the place of a method of one object."""
+def replace_method(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
+    """Replaces a method of one object by what `make` returns for the original method."""
     setattr(owner, name, make(getattr(owner, name)))
 
 
-def _each_start(play: Play, change: Callable[[Member], None]) -> None:
-    for member in play.members:
+def _each_start(simulation: Simulation, change: Callable[[Member], None]) -> None:
+    for member in simulation.members:
 
         def make(start: Any, member: Member = member) -> Any:
             def started(disk_is_trusted: bool = False) -> None:
@@ -31,15 +31,15 @@
 
             return started
 
-        swap(member, "start", make)
+        replace_method(member, "start", make)
 
 
-def _each_duty(play: Play, name: str, make: Callable[[Any, Any], Any]) -> None:
+def _each_duty(simulation: Simulation, name: str, make: Callable[[Any, Any], Any]) -> None:
     def change(member: Member) -> None:
         for duty in member.fleet.duties.values():
-            swap(duty, name, partial(make, duty))
+            replace_method(duty, name, partial(make, duty))
 
-    _each_start(play, change)
+    _each_start(simulation, change)
 
 
 def _wall(host: Host, clock: Callable[[], float]) -> float:
@@ -50,16 +50,16 @@
     return true(local - host.wall_clock_step_ms)
 
 
-def wall_time(play: Play) -> None:
-    """Leases on the wall clock, which can be stepped."""
-    for member in play.members:
+def wall_time(simulation: Simulation) -> None:
+    """Measures leases on the wall clock, which can be stepped."""
+    for member in simulation.members:
         host = member.host
-        swap(host, "clock", partial(partial, _wall, host))
-        swap(host, "true_time", partial(partial, _true, host))
+        replace_method(host, "clock", partial(partial, _wall, host))
+        replace_method(host, "true_time", partial(partial, _true, host))
 
 
-def epoch_from_memory(play: Play) -> None:
-    """Each taking has the epoch of this start's own first one, instead of one above the record's."""
+def epoch_from_memory(simulation: Simulation) -> None:
+    """Takes each duty with epoch 1 instead of the epoch after the record's."""
 
     def make(duty: Any, want: Any) -> Any:
         def wanted(now: float, fit: bool, owned: int) -> Any:
@@ -71,34 +71,34 @@
 
         return wanted
 
-    _each_duty(play, "want", make)
+    _each_duty(simulation, "want", make)
 
 
-def no_look_on_waking(play: Play) -> None:
-    """What it owned before a pause it owns after it."""
-    _each_duty(play, "owns", lambda duty, _: lambda now: duty.epoch if duty.heir is None else None)
+def no_look_on_waking(simulation: Simulation) -> None:
+    """Does not check the lease after a pause: an owner goes on as owner."""
+    _each_duty(simulation, "owns", lambda duty, _: lambda now: duty.epoch if duty.heir is None else None)
 
 
-def voter_forgets(play: Play) -> None:
-    """A voter that comes up without its memory begins anew instead of abstaining."""
-    for member in play.members:
-        if member.name not in play.config.voters:
+def voter_forgets(simulation: Simulation) -> None:
+    """Starts a voter that has lost its state with an empty one, instead of abstaining."""
+    for member in simulation.members:
+        if member.name not in simulation.config.voters:
             continue
 
         def make(start: Any, member: Member = member) -> Any:
             def started(disk_is_trusted: bool = False) -> None:
                 if member.disk.image is None:
                     member.disk.image = encode(
-                        Memory("", member.name, 0, {}, {}, founding_voter_set(play.config.voters))
+                        Memory("", member.name, 0, {}, {}, founding_voter_set(simulation.config.voters))
                     )
                 start(disk_is_trusted=True)
 
             return started
 
-        swap(member, "start", make)
+        replace_method(member, "start", make)
 
 
-BUGS: dict[str, Callable[[Play], None]] = {
+INJECTED_FAULTS: dict[str, Callable[[Simulation], None]] = {
     "wall-time": wall_time,
     "epoch-from-memory": epoch_from_memory,
     "no-look-on-waking": no_look_on_waking,
--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -179,7 +179,7 @@
 
 
 def play(seed: int, loses: bool = False, bug: str | None = None) -> Shuffled:
-    undo = BUGS[bug]() if bug is not None else lambda: None
+    undo = INJECTED_FAULTS[bug]() if bug is not None else lambda: None
     try:
         return Shuffle(seed, loses).run()
     finally:
@@ -239,7 +239,7 @@
     return _put(Voter, "_answer", answer)
 
 
-BUGS: dict[str, Callable[[], Undo]] = {
+INJECTED_FAULTS: dict[str, Callable[[], Undo]] = {
     "no-joint": no_joint,
     "no-rewrite": no_rewrite,
     "any-roster": any_roster,
--- a/rig/processes/ownership_experiment.py
+++ b/rig/processes/ownership_experiment.py
@@ -25,7 +25,7 @@
 
 from myrtlecrank.fleet.step_scheduler import Effect
 from rig.multi_node.checkers import MajorityOutages, Resource
-from rig.multi_node.ownership_experiment import AIMS, Played
+from rig.multi_node.ownership_experiment import FIGURE_LIMITS, PlayResult
 from rig.processes.backend_process import GAUGES, ROOT, free_address
 from rig.processes.proxy import Proxy
 
@@ -412,7 +412,7 @@
         for link in [*self.links.values(), *self.sinks.values()]:
             link.close()
 
-    def run(self, seconds: float, every: float) -> Played:
+    def run(self, seconds: float, every: float) -> PlayResult:
         """Runs the experiment and returns its figures."""
         resource, stand_ins = self.stands.resource, self.stands
         try:
@@ -459,8 +459,10 @@
             ),
         }
         trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.applied]
-        wrong = [f"{key} {figures[key]:g}" for key, most in AIMS.items() if figures.get(key, 0) > most]
-        return Played(self.seed, figures, self.script, trace, "; ".join(wrong))
+        wrong = [
+            f"{key} {figures[key]:g}" for key, most in FIGURE_LIMITS.items() if figures.get(key, 0) > most
+        ]
+        return PlayResult(self.seed, figures, self.script, trace, "; ".join(wrong))
 
 
 def run_experiment(
@@ -474,7 +476,7 @@
     keep: Path | None = None,
     trusted: bool = True,
     wall_leases: bool = False,
-) -> Played:
+) -> PlayResult:
     """Runs the experiment in real time.
 
     `every`: mean seconds between faults, 0 for none. `keep`: folder for the logs.
--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -403,7 +403,7 @@
         reconfiguration_fuzz.reseating.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     )
-    for bug in reconfiguration_fuzz.BUGS:
+    for bug in reconfiguration_fuzz.INJECTED_FAULTS:
         reconfiguration_fuzz.play(1, bug=bug)
     assert (
         reconfiguration_fuzz.Roster.begin_change,
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -7,8 +7,8 @@
 
 from myrtlecrank.fleet.step_scheduler import Effect
 from rig.multi_node.checkers import MajorityOutages, Resource
-from rig.multi_node.ownership_experiment import Scene, play
-from rig.multi_node.planted_faults import BUGS
+from rig.multi_node.ownership_experiment import Scenario, play
+from rig.multi_node.planted_faults import INJECTED_FAULTS
 
 
 def test_the_resource_refuses_an_old_epoch_and_recognizes_a_repeated_step() -> None:
@@ -39,35 +39,35 @@
     """Seed 16 covers a fault in which a step that was done but not recorded was forgotten, so that its duty
     never advanced again. Seed 5 covers the same result after a lease that had expired during a step proved
     to be valid."""
-    played = play(seed, Scene(length=45_000.0))
-    assert not played.first_break and played.figures["stuck"] == 0
+    played = play(seed, Scenario(length_ms=45_000.0))
+    assert not played.violations and played.figures["stuck"] == 0
     assert played.figures["takeover_s"] < 3.0 * 0.6 and played.figures["steps"] > 500
 
 
 def test_without_faults_no_owner_changes_once_the_duties_are_even() -> None:
-    played = play(1, Scene(length=20_000.0, faults=False))
+    played = play(1, Scenario(length_ms=20_000.0, faults=False))
     assert played.figures["unowned_share"] == 0 and played.figures["owner_changes"] <= 3
     assert played.figures["late_effects_offered"] == 0
 
 
 def test_the_same_seed_gives_the_same_trace() -> None:
-    first, second = (play(9, Scene(length=20_000.0)) for _ in range(2))
-    assert first == second and first.trace != play(10, Scene(length=20_000.0)).trace
+    first, second = (play(9, Scenario(length_ms=20_000.0)) for _ in range(2))
+    assert first == second and first.trace != play(10, Scenario(length_ms=20_000.0)).trace
 
 
 def test_without_the_fence_late_effects_are_taken() -> None:
-    played = play(1, Scene(length=30_000.0, fence=False))
-    assert played.figures["late_effects_taken"] > 0 and played.first_break
+    played = play(1, Scenario(length_ms=30_000.0, fence=False))
+    assert played.figures["late_effects_taken"] > 0 and played.violations
 
 
 @pytest.mark.parametrize(("bug", "seed"), list(DETECTING_SEEDS.items()))
 def test_injected_faults_of_ownership_are_detected(bug: str, seed: int) -> None:
-    assert play(seed, Scene(length=30_000.0), BUGS[bug]).first_break
+    assert play(seed, Scenario(length_ms=30_000.0), INJECTED_FAULTS[bug]).violations
 
 
 def test_one_owner_at_a_time_while_voters_are_replaced() -> None:
-    played = play(1, Scene(length=45_000.0, reseats=True))
-    assert not played.first_break and played.figures["stuck"] == 0
+    played = play(1, Scenario(length_ms=45_000.0, reseats=True))
+    assert not played.violations and played.figures["stuck"] == 0
     assert played.figures["voters_changed"] >= 3
 
 
