--- a/rig/multi_node/ownership_model_check.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -1,11 +1,11 @@
-"""Walks all orders of events for two members that want one duty, to a depth.
+"""Model check of leases: explores all orders of events for two members that want one duty up to a depth.
 
-The register is taken as what it is shown to be elsewhere: one record, changed as one step at any time after a
-call's sending, for ever where its answer was lost. A glance may show a change that was tried and never stood.
-An event: time goes on by a unit, a member asks, the register takes a call, an answer arrives or is
-given up. A member that is stopped is one to which nothing happens while time goes on. The clocks run
-alike; that a wait is longer than a lease stands for their drift: a lease of 3 units and a wait of 4
-allow for a seventh each."""
+The register is modelled as one linearizable record: a change takes effect atomically at any time after its
+call was sent, without limit if its answer was lost. An unverified read may return a change that was attempted
+and never chosen. An event is one of: time advances by a unit, a member sends a call, the register executes a
+call, an answer arrives, or a call times out. A paused member is one without events while time advances. The
+clocks run at equal rates; a wait longer than the lease stands for their drift: a lease of 3 units and a wait
+of 4 allow for a seventh each."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A call on its way. `outcome`: once the register took it; `waited`: its member has not given it up."""
+    """A call in flight. `outcome` is set once the register has executed it; `waited` is false after its
+    timeout."""
 
     member: int
     asked: Look | Put
@@ -41,11 +42,11 @@
     calls: tuple[Sent, ...] = ()
 
     def key(self) -> tuple[Any, ...]:
-        """All that what follows depends on; times as they are from now."""
+        """Returns all that later events depend on, with times relative to now."""
         return (self.record, tuple(map(self._duty, self.duties)), frozenset(self.calls))
 
     def _duty(self, duty: Duty) -> tuple[Any, ...]:
-        """Past a bound a time makes no difference any more."""
+        """Returns the state of a duty. Times are clamped: beyond the limit they make no difference."""
 
         def ago(at: float) -> float:
             return max(-20.0, min(20.0, at - self.now))
@@ -66,19 +67,20 @@
         )
 
 
-class Walk:
-    """`plant` changes each duty before the walk: a bug."""
+class ModelCheck:
+    """The search. `plant` injects a fault into each duty before it."""
 
     def __init__(self, depth: int, terms: Terms = TERMS, plant: Callable[[Duty], None] | None = None) -> None:
         self.depth, self.terms = depth, terms
         self.plant = plant
-        self.seen: dict[tuple[Any, ...], int] = {}
-        self.wrong: list[tuple[str, ...]] = []
-        self.taken_by: set[str] = set()  # who owned it in some order
-        self.handed_on = 0  # states in which a second epoch is owned
-
-    def run(self, owned: bool = False) -> Walk:
-        """From where nobody has owned the duty; or from where a does, since just now, and b has seen it."""
+        self.visited: dict[tuple[Any, ...], int] = {}
+        self.violations: list[tuple[str, ...]] = []
+        self.owners: set[str] = set()  # members that owned the duty in some order
+        self.later_epoch_states = 0  # states with an owner of a later epoch
+
+    def run(self, owned: bool = False) -> ModelCheck:
+        """Searches from a duty without owner; or, with `owned`, from one that a has just acquired and b has
+        read."""
         duties = tuple(Duty("d", name, self.terms) for name in NAMES)
         if self.plant is not None:
             for duty in duties:
@@ -86,7 +88,7 @@
         record = EMPTY_RECORD
         if owned:
             first = duties[0]
-            for _ in range(2):  # a look, then the taking
+            for _ in range(2):  # a read, then the acquisition
                 asked = first.want(0.0, True, 0)
                 assert asked is not None
                 first.sending(asked, 0.0)
@@ -100,18 +102,18 @@
 
     def _from(self, state: State, left: int, way: tuple[str, ...]) -> None:
         key = state.key()
-        if self.wrong or self.seen.get(key, -1) >= left:
+        if self.violations or self.visited.get(key, -1) >= left:
             return
-        self.seen[key] = left
+        self.visited[key] = left
         owners = [
             (duty.owner_id, epoch)
             for duty in map(copied, state.duties)
             if (epoch := duty.owns(float(state.now))) is not None
         ]
-        self.taken_by.update(name for name, _ in owners)
-        self.handed_on += any(epoch > 1 for _, epoch in owners)
+        self.owners.update(name for name, _ in owners)
+        self.later_epoch_states += any(epoch > 1 for _, epoch in owners)
         if len(owners) > 1:
-            self.wrong.append(way)
+            self.violations.append(way)
             return
         if left:
             for what, after in self._events(state):
@@ -170,7 +172,7 @@
 
 
 def written(state: State, sent: Sent) -> Record:
-    """The record that a change makes, known by its writer as in the register."""
+    """Returns the record that a change writes, identified by its writer as in the register."""
     assert isinstance(sent.asked, Put)
     lease: Lease = sent.asked.lease
     writer = f"{state.duties[sent.member].owner_id}:{lease.attempt}"
@@ -178,17 +180,17 @@
 
 
 def copied(duty: Duty) -> Duty:
-    """All that it refers to is frozen, but for the lines for the log."""
+    """Returns a copy of the duty. All that it refers to is frozen except its list of changes for the log."""
     twin = copy(duty)
     twin.changes = []
     return twin
 
 
-# -- planted bugs
+# -- injected faults
 
 
 def counts_from_the_answer(duty: Duty) -> None:
-    """The lease counts from when it was known that it stands."""
+    """Measures the lease from the arrival of the answer instead of the sending of the call."""
     duty.__class__ = CountsFromAnswer
 
 
@@ -200,7 +202,7 @@
 
 
 def believes_a_glance(duty: Duty) -> None:
-    """What a glance shows is taken for what stands: an owner in doubt only glances."""
+    """Trusts an unverified read: an owner whose last write is in doubt does only unverified reads."""
     duty.__class__ = BelievesGlance
 
 
@@ -210,7 +212,7 @@
 
 
 def one_turn(duty: Duty) -> None:
-    """All writes under one epoch have one turn: an older one that stands at last passes for the newer."""
+    """Gives all writes of one epoch the same attempt number, so that an older one passes for a newer one."""
     duty.__class__ = OneTurn
 
 
--- a/rig/multi_node/register_model_check.py
+++ b/rig/multi_node/register_model_check.py
@@ -1,8 +1,9 @@
-"""Walks all orders of events for three voters and two proposers, to a depth.
+"""Model check of the register: explores all orders of events for three voters and two proposers up to a
+depth.
 
-An event: a voter takes a request that was sent to it, and its vote arrives, or is lost; or a proposer's time
-is over. A request may be taken at any later time, so late ones are in it; what comes twice changes nothing
-(equal ballots). Both change one record over nothing, so at the most one may hear that it did."""
+An event is one of: a voter handles a request, and its vote arrives or is lost; a proposer's round times out.
+A request may be handled at any later time, which covers delayed ones; a duplicate changes nothing (equal
+ballots). Both proposers change the same empty record, so at most one may succeed."""
 
 from __future__ import annotations
 
@@ -31,12 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Side:
-    """One proposer: what it was resumed with so far, the votes of this round, and what it has sent to
-    whom."""
+    """One proposer: the votes of its earlier rounds, the votes of this round, and its open requests."""
 
     resumed: tuple[Votes, ...] = ()
     votes: Votes = ()
-    sent: tuple[tuple[int, str], ...] = ()  # round and voter, of requests that nobody has taken yet
+    sent: tuple[tuple[int, str], ...] = ()  # round and voter of requests not handled yet
 
 
 Slots = tuple[Slot | None, ...]
@@ -48,19 +48,20 @@
     return vote.voter
 
 
-class Walk:
-    """`broken` makes a voter answer without keeping its promise: a planted bug."""
+class ModelCheck:
+    """The search. `broken` injects a fault: voters answer without keeping their promises."""
 
     def __init__(self, depth: int, tries: int = 2, broken: bool = False) -> None:
         self.depth, self.tries, self.broken = depth, tries, broken
         self.steps: dict[tuple[int, bytes], tuple[list[Prepare | Accept], Outcome | None]] = {}
-        self.seen: dict[bytes, int] = {}  # a state: how many events it was followed for
-        self.states = 0
-        self.ends: set[tuple[Result | None, ...]] = set()
-        self.wrong: list[State] = []
+        self.visited: dict[bytes, int] = {}  # state: number of events explored from it
+        self.state_count = 0
+        self.results: set[tuple[Result | None, ...]] = set()
+        self.violations: list[State] = []
 
     def asks(self, side: int, resumed: tuple[Votes, ...]) -> tuple[list[Prepare | Accept], Outcome | None]:
-        """All requests that a proposer has made after being resumed so, and its outcome if it has ended."""
+        """Returns all requests that a proposer has made after these rounds, and its outcome if it has
+        ended."""
         key = (side, PACK.encode(resumed))
         if key not in self.steps:
             proposer = Proposer(f"p{side}", ROSTER, lambda: 0.5, max_attempts=self.tries)
@@ -75,7 +76,9 @@
                         step = call.send([])
                         continue
                     if not isinstance(step.request, Prepare | Accept):
-                        raise AssertionError("a change glances at nothing")
+                        raise AssertionError(
+                            f"a change sends only prepare and accept, found {step.request!r}"
+                        )
                     asked.append(step.request)
                     if not waiting:
                         break
@@ -85,7 +88,7 @@
             self.steps[key] = asked, outcome
         return self.steps[key]
 
-    def run(self) -> Walk:
+    def run(self) -> ModelCheck:
         sides = tuple(self._began(i, Side(), 0) for i in range(2))
         self._from((None, None, None), sides, self.depth)
         return self
@@ -97,20 +100,20 @@
 
     def _from(self, slots: Slots, sides: tuple[Side, ...], left: int) -> None:
         key = PACK.encode((slots, [(s.resumed, sorted(s.votes, key=_name), sorted(s.sent)) for s in sides]))
-        if self.seen.get(key, -1) >= left:
+        if self.visited.get(key, -1) >= left:
             return
-        if key not in self.seen:
-            self.states += 1
-        self.seen[key] = left
+        if key not in self.visited:
+            self.state_count += 1
+        self.visited[key] = left
         results = tuple(
             outcome.result if outcome else None
             for outcome in (self.asks(i, s.resumed)[1] for i, s in enumerate(sides))
         )
-        self.ends.add(results)
+        self.results.add(results)
         if results == (Result.DONE, Result.DONE):
-            self.wrong.append((slots, sides))
+            self.violations.append((slots, sides))
             return
-        if left == 0 or self.wrong:
+        if left == 0 or self.violations:
             return
         for number, side in enumerate(sides):
             asked, outcome = self.asks(number, side.resumed)
@@ -119,7 +122,7 @@
                 vote, slot = self._take(slots[place], name, asked[i])
                 after = (*slots[:place], slot, *slots[place + 1 :])
                 rest = Side(side.resumed, side.votes, tuple(one for one in side.sent if one != (i, name)))
-                self._go(after, sides, number, rest, left)  # the vote is lost, or too late
+                self._go(after, sides, number, rest, left)  # the vote is lost or late
                 if outcome is None and i == len(asked) - 1:
                     heard = Side(rest.resumed, (*rest.votes, vote), rest.sent)
                     step = Round(asked[i], ROSTER)
@@ -143,5 +146,5 @@
         voter = Voter(name, NAMES, memory, lambda _: True)
         (vote,) = voter.answer_batch([(MARK, ask)])
         if vote is None:
-            raise AssertionError("this voter votes")
+            raise AssertionError(f"voter {name} must answer, found no vote")
         return vote, memory.slots.get("k")
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -16,7 +16,12 @@
 from myrtlecrank.fleet.ownership.lease import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
-from rig.multi_node.ownership_model_check import Walk, believes_a_glance, counts_from_the_answer, one_turn
+from rig.multi_node.ownership_model_check import (
+    ModelCheck,
+    believes_a_glance,
+    counts_from_the_answer,
+    one_turn,
+)
 
 TERMS = Terms.of(1000.0, 0.01, 250.0)
 
@@ -416,14 +421,18 @@
 
 
 def test_no_order_of_events_gives_an_owned_duty_two_owners() -> None:
-    model_check = Walk(12).run(owned=True)
-    assert not model_check.wrong and len(model_check.seen) > 40_000 and model_check.handed_on > 1000
-    assert model_check.taken_by == {"a/1", "b/1"}
+    model_check = ModelCheck(12).run(owned=True)
+    assert (
+        not model_check.violations
+        and len(model_check.visited) > 40_000
+        and model_check.later_epoch_states > 1000
+    )
+    assert model_check.owners == {"a/1", "b/1"}
 
 
 def test_no_order_of_events_gives_a_new_duty_two_owners() -> None:
-    model_check = Walk(10).run()
-    assert not model_check.wrong and model_check.taken_by == {"a/1", "b/1"}
+    model_check = ModelCheck(10).run()
+    assert not model_check.violations and model_check.owners == {"a/1", "b/1"}
 
 
 @pytest.mark.parametrize(
@@ -432,8 +441,8 @@
 def test_the_model_check_finds_injected_faults_of_ownership(
     plant: Callable[[Duty], None], depth: int
 ) -> None:
-    assert Walk(depth, plant=plant).run(owned=True).wrong
+    assert ModelCheck(depth, plant=plant).run(owned=True).violations
 
 
 def test_the_model_check_finds_a_wait_shorter_than_the_lease() -> None:
-    assert Walk(12, Terms(3.0, 2.0, 1.0, 1.0, 0.0, 2.0)).run(owned=True).wrong
+    assert ModelCheck(12, Terms(3.0, 2.0, 1.0, 1.0, 0.0, 2.0)).run(owned=True).violations
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -37,7 +37,7 @@
 from myrtlecrank.fleet.register.voter_set import founding_voter_set
 from rig.multi_node import register_history
 from rig.multi_node.checkers import Operation, linearizable
-from rig.multi_node.register_model_check import Walk
+from rig.multi_node.register_model_check import ModelCheck
 
 NAMES = ("a", "b", "c")
 VOTER_SET = founding_voter_set(NAMES)
@@ -461,13 +461,13 @@
 
 def test_no_order_of_events_lets_two_proposers_change_one_record() -> None:
     """Eight events are the fewest by which both could succeed: two rounds of two votes for each."""
-    model_check = Walk(8, tries=1).run()
-    assert not model_check.wrong and model_check.states > 50_000
-    assert (Result.DONE, Result.CONFLICT) in model_check.ends and (
+    model_check = ModelCheck(8, tries=1).run()
+    assert not model_check.violations and model_check.state_count > 50_000
+    assert (Result.DONE, Result.CONFLICT) in model_check.results and (
         Result.UNKNOWN,
         Result.DONE,
-    ) in model_check.ends
+    ) in model_check.results
 
 
 def test_the_model_check_finds_a_voter_that_breaks_its_promise() -> None:
-    assert Walk(8, tries=1, broken=True).run().wrong
+    assert ModelCheck(8, tries=1, broken=True).run().violations
