--- a/rig/multi_node/__init__.py
+++ b/rig/multi_node/__init__.py
@@ -1,2 +1,2 @@
-"""Several members of a fleet on one virtual clock: their decisions between a network, disks and clocks that
-fail."""
+"""Simulation of several fleet members on one virtual clock, with injected faults of network, disks and
+clocks."""
--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -1,8 +1,8 @@
-"""Voters replaced under the hardest order of messages: no times at all. Each message is delivered, lost or
-left lying for as long as chance has it, and each caller reaches some of the voters only, for a while.
+"""Fuzz test of voter reconfiguration under arbitrary message orders, without time. Each message is delivered,
+lost or delayed at random, and each caller reaches only some of the voters for a while.
 
-Denser than the plays on the virtual clock: what goes wrong only where old and new voters are asked at one
-time is met here in a few hundred seeds."""
+Denser than the plays on the virtual clock: a violation that needs old and new voters to be asked at the same
+time is found here within a few hundred seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import msgspec
 
 from myrtlecrank.fleet.messages import Message, Voted
-from myrtlecrank.fleet.register import reconfiguration as reseating
+from myrtlecrank.fleet.register import reconfiguration
 from myrtlecrank.fleet.register.calls import Calls, replies
 from myrtlecrank.fleet.register.caspaxos import Proposer, Voter
 from myrtlecrank.fleet.register.disk import decode, encode
@@ -23,12 +23,12 @@
 from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
 from rig.multi_node.checkers import Operation
 from rig.multi_node.member import DECODER, ENCODER, newest_voter_set
-from rig.multi_node.register_history import Asker, judged
+from rig.multi_node.register_history import OperationRecorder, is_linearizable
 
 FOUNDERS, ALL = ("v0", "v1", "v2"), ("v0", "v1", "v2", "v3", "v4")
-OPS = 26
+OPERATIONS = 26
 EVENTS = 6000
-LATER = 1e12  # ms: past every due time
+AFTER_ALL_TIMEOUTS_MS = 1e12  # past every due time
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,30 +39,32 @@
 
 
 class Caller:
-    """One of those that read and change, or (`changes`) the one that replaces voters."""
+    """A caller that reads and changes the record, or (`changes`) one that replaces voters."""
 
-    def __init__(self, play: Shuffle, name: str, changes: bool) -> None:
-        self.play, self.name, self.changes, self.lives = play, name, changes, 0
+    def __init__(self, play: ReconfigurationFuzz, name: str, changes: bool) -> None:
+        self.play, self.name, self.changes, self.incarnation = play, name, changes, 0
         self.reach = set(ALL)
-        self.asker: Asker | None = None
+        self.recorder: OperationRecorder | None = None
         self.start()
 
     def start(self) -> None:
-        """Anew, as another start of its process."""
-        self.lives += 1
+        """Starts a new incarnation of the process."""
+        self.incarnation += 1
         name, random = self.name, self.play.random
         self.calls = Calls(1.0, lambda to, message: self.play.send(name, to, message))
-        self.proposer = Proposer(f"{name}/{self.lives}", guessed(FOUNDERS), random.random, max_attempts=4)
-        last = self.asker.last if self.asker is not None else EMPTY_RECORD
-        self.asker = Asker(self.proposer, self.play.history, random.random, last)
+        self.proposer = Proposer(
+            f"{name}/{self.incarnation}", guessed(FOUNDERS), random.random, max_attempts=4
+        )
+        last = self.recorder.last if self.recorder is not None else EMPTY_RECORD
+        self.recorder = OperationRecorder(self.proposer, self.play.history, random.random, last)
         self.changed = 0
 
-    def go_on(self) -> None:
+    def start_next_call(self) -> None:
         play = self.play
-        if self.calls.pending or play.left <= 0 or self.asker is None:
+        if self.calls.pending or play.operations_left <= 0 or self.recorder is None:
             return
         if not self.changes and play.random.random() > 0.03:
-            return  # so that voters are replaced between what the others do
+            return  # leaves time for reconfigurations between the calls of the others
         if self.changes:
             self.changed += 1
             token = f"{self.proposer.proposer_id}:{self.changed}"
@@ -70,23 +72,23 @@
             drop, add = [play.random.choice(now)], [play.random.choice(ALL)]
             if play.random.random() < 0.2:
                 drop, add = [], []
-            self.calls.start(reseating.reseat(self.proposer, drop, add, token), self.reseated, play.now)
+            self.calls.start(reconfiguration.reseat(self.proposer, drop, add, token), self.reseated, play.now)
             return
-        play.left -= 1
-        asker = self.asker
-        call, operation = asker.next(play.now)
-        self.calls.start(call, lambda outcome, _: asker.done(operation, outcome, play.now), play.now)
+        play.operations_left -= 1
+        recorder = self.recorder
+        call, operation = recorder.next(play.now)
+        self.calls.start(call, lambda outcome, _: recorder.done(operation, outcome, play.now), play.now)
 
     def reseated(self, how: Reseated, _: float) -> None:
         self.play.reseated += not how.wrong
 
 
-class Shuffle:
+class ReconfigurationFuzz:
     def __init__(self, seed: int, loses: bool = False) -> None:
         self.random, self.loses = Random(seed), loses
-        self.now, self.left, self.reseated, self.starts = 0.0, OPS, 0, 0
+        self.now, self.operations_left, self.reseated, self.starts = 0.0, OPERATIONS, 0, 0
         self.history: list[Operation] = []
-        self.bag: list[Sent] = []
+        self.in_flight: list[Sent] = []
         self.images: dict[str, bytes] = {
             name: encode(Memory("", name, 0, {}, {}, founding_voter_set(FOUNDERS))) for name in FOUNDERS
         }
@@ -110,7 +112,7 @@
         caller = self.callers.get(source) or self.callers.get(target)
         other = target if source in self.callers else source
         if caller is None or other in caller.reach:
-            self.bag.append(Sent(source, target, ENCODER.encode(message)))
+            self.in_flight.append(Sent(source, target, ENCODER.encode(message)))
 
     def deliver(self, one: Sent) -> None:
         message: Any = DECODER.decode(one.raw)
@@ -119,12 +121,12 @@
             if isinstance(message, Voted):
                 caller.calls.heard(one.source, message, self.now)
             return
-        # What is told must not change with the memory that it was read from: send() packs it at once.
+        # send() encodes at once: a reported memory must not change after it was sent.
         for to, reply in replies(self.voters[one.target], [(one.source, message)]):
             self.send(one.target, to, reply)
 
     def lose(self) -> None:
-        """One memory at a time: only while all that vote do."""
+        """Loses the state of one voter, and only while all voters vote."""
         names = newest_voter_set(self.voters.values()).names
         if all(self.voters[name].voting for name in names):
             name = self.random.choice(names)
@@ -133,15 +135,15 @@
 
     def event(self) -> None:
         random, kind = self.random, self.random.random()
-        if kind < 0.80 and self.bag:
-            self.deliver(self.bag.pop(random.randrange(len(self.bag))))
-        elif kind < 0.86 and self.bag:
-            self.bag.pop(random.randrange(len(self.bag)))
+        if kind < 0.80 and self.in_flight:
+            self.deliver(self.in_flight.pop(random.randrange(len(self.in_flight))))
+        elif kind < 0.86 and self.in_flight:
+            self.in_flight.pop(random.randrange(len(self.in_flight)))
         elif kind < 0.95:
-            # Its time is over, seldom while something of it is still on its way.
+            # Its calls time out, seldom while their messages are in flight.
             one = random.choice(list(self.callers.values()))
-            if random.random() < 0.05 or not any(one.name in (m.source, m.target) for m in self.bag):
-                one.calls.tick(LATER)
+            if random.random() < 0.05 or not any(one.name in (m.source, m.target) for m in self.in_flight):
+                one.calls.tick(AFTER_ALL_TIMEOUTS_MS)
         elif kind < 0.98:
             one = random.choice(list(self.callers.values()))
             one.reach = set(random.sample(ALL, random.randint(3 if one.changes else 2, 5)))
@@ -149,7 +151,7 @@
             name = random.choice(ALL)
             self.start(name)
         elif kind < 0.993:
-            # What it asked stays on its way, and nobody hears how it ends.
+            # Its requests stay in flight, and nobody receives their outcome.
             random.choice(list(self.callers.values())).start()
         elif kind < 0.996 and self.loses:
             self.lose()
@@ -159,56 +161,56 @@
                 for other in sorted(voter.others):
                     self.send(name, other, asked)
         for caller in self.callers.values():
-            caller.go_on()
+            caller.start_next_call()
 
-    def run(self) -> Shuffled:
+    def run(self) -> FuzzResult:
         for _ in range(EVENTS):
-            if self.left <= 0 and not any(one.calls.pending for one in self.callers.values()):
+            if self.operations_left <= 0 and not any(one.calls.pending for one in self.callers.values()):
                 break
             self.now += 1.0
             self.event()
         known = sum(operation.end != float("inf") for operation in self.history)
-        return Shuffled(judged(self.history), known, self.reseated)
+        return FuzzResult(is_linearizable(self.history), known, self.reseated)
 
 
 @dataclass(frozen=True, slots=True)
-class Shuffled:
+class FuzzResult:
     ok: bool
-    known: int  # calls whose outcome was heard
-    reseated: int  # changes of voters that came to their end
+    known: int  # calls whose outcome was received
+    reseated: int  # completed reconfigurations
 
 
-def play(seed: int, loses: bool = False, bug: str | None = None) -> Shuffled:
+def play(seed: int, loses: bool = False, bug: str | None = None) -> FuzzResult:
     undo = INJECTED_FAULTS[bug]() if bug is not None else lambda: None
     try:
-        return Shuffle(seed, loses).run()
+        return ReconfigurationFuzz(seed, loses).run()
     finally:
         undo()
 
 
-# -- planted bugs; each returns what takes it away
+# -- injected faults; each returns a function that removes it
 
 Undo = Callable[[], None]
 
 
-def _put(owner: Any, name: str, new: Any) -> Undo:
+def _replace_attribute(owner: Any, name: str, new: Any) -> Undo:
     old = getattr(owner, name)
     setattr(owner, name, new)
     return lambda: setattr(owner, name, old)
 
 
 def no_joint() -> Undo:
-    """The new voters stand at once, without a majority of the old ones."""
+    """Uses the new voters at once, without a majority of the old ones."""
     real = Roster.begin_change
 
     def changed(roster: Roster, drop: Iterable[str], add: dict[str, str]) -> Roster:
         return Roster(roster.number + 1, real(roster, drop, add).sets[-1:])
 
-    return _put(Roster, "begin_change", changed)
+    return _replace_attribute(Roster, "begin_change", changed)
 
 
 def no_rewrite() -> Undo:
-    """The new voters stand alone before they hold what was chosen."""
+    """Uses the new voters alone before they hold the chosen records."""
 
     def settled(proposer: Proposer, record: Record, joint: Roster) -> Any:
         changed: Outcome = yield from proposer.change(
@@ -216,11 +218,11 @@
         )
         return changed.result is Result.DONE and proposer.seated(joint.complete_change())
 
-    return _put(reseating, "complete_reconfiguration", settled)
+    return _replace_attribute(reconfiguration, "complete_reconfiguration", settled)
 
 
 def any_roster() -> Undo:
-    """A voter answers whatever roster it was asked under, and goes on when it is dropped."""
+    """A voter answers requests under any voter set, and continues after it was removed."""
     real = Voter._answer
 
     def answer(voter: Voter, mark: str, asked: Any) -> Any:
@@ -236,7 +238,7 @@
         voter.voting = was
         return vote
 
-    return _put(Voter, "_answer", answer)
+    return _replace_attribute(Voter, "_answer", answer)
 
 
 INJECTED_FAULTS: dict[str, Callable[[], Undo]] = {
--- a/rig/multi_node/register_history.py
+++ b/rig/multi_node/register_history.py
@@ -1,7 +1,6 @@
-"""The register alone under hard faults: a few clients, three voters, one key, and the history of all calls
-judged.
+"""Linearizability test of the register under frequent faults: a few clients, three voters and one key.
 
-Each play is short, so that the checker can try all orders; there are many plays."""
+Each play is short, because the checker searches all orders; there are many plays."""
 
 from __future__ import annotations
 
@@ -23,10 +22,10 @@
 KEY = "key"
 
 
-class Node:
+class VoterNode:
     """A voter's process and its disk."""
 
-    def __init__(self, play: Register, name: str) -> None:
+    def __init__(self, play: RegisterPlay, name: str) -> None:
         self.play, self.name = play, name
         self.host, self.disk = Host(play.environment, name, 0.01), Disk()
         self.voter_host: VoterHost | None = None
@@ -51,9 +50,9 @@
             self.voter_host.ask(sender, message)
 
 
-class Asker:
-    """What one caller asks of the register and how it ended, as the checker wants it: reads, and changes over
-    what it last saw."""
+class OperationRecorder:
+    """Generates the operations of one caller, reads and changes of the record that it last received, and
+    records their outcomes in the history."""
 
     def __init__(
         self,
@@ -88,23 +87,23 @@
                 outcome.record,
             )
         elif result is Result.AWAY:
-            self.history.remove(operation)  # nothing was proposed
+            self.history.remove(operation)  # no voter was reached: nothing was proposed
 
 
-def judged(history: list[Operation]) -> bool:
+def is_linearizable(history: list[Operation]) -> bool:
     for operation in history:
         if operation.kind == "unseen":
-            operation.kind = "maybe"  # a read that nobody heard of says nothing
+            operation.kind = "maybe"  # an unanswered read constrains nothing
             operation.base = "never"
     return linearizable(history)
 
 
 class Client:
-    """It may die and come back as another."""
+    """A client of the register; a restart gives it a new identity."""
 
-    def __init__(self, play: Register, name: str) -> None:
+    def __init__(self, play: RegisterPlay, name: str) -> None:
         self.play, self.name, self.host = play, name, Host(play.environment, name, 0.01)
-        self.asker: Asker | None = None
+        self.recorder: OperationRecorder | None = None
         self.start()
 
     def start(self) -> None:
@@ -115,8 +114,8 @@
         self.proposer = Proposer(
             instance_id, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0
         )
-        last = self.asker.last if self.asker is not None else EMPTY_RECORD
-        self.asker = Asker(self.proposer, self.play.history, chance, last)
+        last = self.recorder.last if self.recorder is not None else EMPTY_RECORD
+        self.recorder = OperationRecorder(self.proposer, self.play.history, chance, last)
         if self.play.plant is not None:
             self.play.plant(self)
         self.host.run_at(
@@ -125,17 +124,17 @@
 
     def next(self) -> None:
         play, now = self.play, self.play.environment.now
-        if play.left <= 0 or self.asker is None:
+        if play.operations_left <= 0 or self.recorder is None:
             return
-        play.left -= 1
-        call, operation = self.asker.next(now)
+        play.operations_left -= 1
+        call, operation = self.recorder.next(now)
         self.calls.start(call, lambda outcome, _: self.done(operation, outcome), now)
         self.tick()
 
     def done(self, operation: Operation, outcome: Outcome) -> None:
         now = self.play.environment.now
-        if self.asker is not None:
-            self.asker.done(operation, outcome, now)
+        if self.recorder is not None:
+            self.recorder.done(operation, outcome, now)
         self.host.run_at(now + self.play.environment.random.uniform(0.0, 25.0), self.next)
 
     def heard(self, sender: str, message: Any) -> None:
@@ -149,17 +148,17 @@
             self.host.run_at(max(self.calls.due(), self.play.environment.now + 0.5), self.tick)
 
 
-class Changer(Client):
-    """Replaces voters again and again, and dies on the way at times."""
+class ReconfiguringClient(Client):
+    """Replaces voters repeatedly, and sometimes crashes in between."""
 
     def next(self) -> None:
         play, random = self.play, self.play.environment.random
-        if play.left <= 0:
+        if play.operations_left <= 0:
             return
         now, there = list(self.proposer.roster.names), sorted(play.nodes)
         drop, add = [random.choice(now)], [random.choice(there)]
         if random.random() < 0.2:
-            drop, add = [], []  # ends what stands half-way, as any member does after a while
+            drop, add = [], []  # completes an unfinished change, as any member does after a while
         self.number = getattr(self, "number", 0) + 1
         token = f"{self.proposer.proposer_id}:{self.number}"
         self.calls.start(reseat(self.proposer, drop, add, token), self.ended, play.environment.now)
@@ -171,18 +170,19 @@
 
 
 @dataclass
-class Judged:
+class CheckedHistory:
     seed: int
     ok: bool
     ops: int
     known: int
     history: list[Operation]
     reseated: int = 0
-    roster: int = 0  # number of the newest at the end
+    roster: int = 0  # number of the newest voter set at the end
 
 
-class Register:
-    """`trusted`: a voter that comes up with a whole memory votes at once; then no older disks are played."""
+class RegisterPlay:
+    """One play. `trusted`: a voter that starts with complete state votes at once; older disk images are then
+    not restored."""
 
     def __init__(
         self,
@@ -204,15 +204,15 @@
         self.founders = ("v0", "v1", "v2")
         self.names = [f"v{i}" for i in range(5 if change else 3)]
         self.history: list[Operation] = []
-        self.left = 28 if change else 16
-        self.nodes = {name: Node(self, name) for name in self.names}
+        self.operations_left = 28 if change else 16
+        self.nodes = {name: VoterNode(self, name) for name in self.names}
         for name, node in self.nodes.items():
             if name in self.founders:
                 node.disk.image = encode(Memory("", name, 0, {}, {}, founding_voter_set(self.founders)))
             node.start(trusted=True)
         self.clients = {name: Client(self, name) for name in ("a", "b", "c")}
         if change:
-            self.clients["d"] = Changer(self, "d")
+            self.clients["d"] = ReconfiguringClient(self, "d")
         self.environment.schedule(10.0, self.fault)
 
     def send(self, source: str, target: str, message: Message) -> None:
@@ -231,10 +231,10 @@
         node = self.nodes[random.choice(self.names)]
         kinds = ["restart", "lost", "old", "cut", "slow", "client", "stop"]
         if self.change:
-            kinds += ["half"]  # old and new voters on two sides, each with clients of its own
+            kinds += ["half"]  # old and new voters in two partitions, each with clients
         kind = random.choice(kinds)
         if kind == "half":
-            self.half(random.uniform(30.0, 200.0))
+            self.partition(random.uniform(30.0, 200.0))
         elif kind == "client":
             client = random.choice(list(self.clients.values()))
             client.host.is_up, client.host.incarnation = False, client.host.incarnation + 1
@@ -254,7 +254,7 @@
             one.host.is_up and one.voter_host is not None and one.voter_host.voter.voting
             for one in self.voters()
         ):
-            # One memory lost at a time: what two have lost together nobody can know.
+            # One state is lost at a time: what two voters have lost together cannot be recovered.
             node.crash()
             if kind == "lost" or (kind == "old" and not node.disk.older_images):
                 node.disk.image = None if not self.trusted or kind == "lost" else node.disk.image
@@ -270,10 +270,10 @@
             one.voter_host.voter for one in self.nodes.values() if one.voter_host is not None
         )
 
-    def voters(self) -> list[Node]:
+    def voters(self) -> list[VoterNode]:
         return [self.nodes[name] for name in self.roster().names]
 
-    def half(self, ms: float) -> None:
+    def partition(self, ms: float) -> None:
         names = sorted([*self.nodes, *self.clients])
         side = set(self.environment.random.sample(names, len(names) // 2))
         for a in names:
@@ -281,11 +281,13 @@
                 if (a in side) != (b in side):
                     self.environment.block_link(a, b, self.environment.now + ms)
 
-    def run(self) -> Judged:
+    def run(self) -> CheckedHistory:
         self.environment.run(4000.0)
-        ok = judged(self.history)
+        ok = is_linearizable(self.history)
         known = sum(operation.end != float("inf") for operation in self.history)
-        return Judged(0, ok, len(self.history), known, self.history, self.reseated, self.roster().number)
+        return CheckedHistory(
+            0, ok, len(self.history), known, self.history, self.reseated, self.roster().number
+        )
 
 
 def play(
@@ -294,18 +296,18 @@
     plant: Callable[[Client], None] | None = None,
     forget: bool = False,
     change: bool = False,
-) -> Judged:
-    """`change`: voters are replaced meanwhile."""
-    one = Register(seed, trusted, plant, forget, change).run()
+) -> CheckedHistory:
+    """Runs one play. `change`: voters are replaced meanwhile."""
+    one = RegisterPlay(seed, trusted, plant, forget, change).run()
     one.seed = seed
     return one
 
 
 def stale_read(client: Client) -> None:
-    """Planted: a read believes what a majority says at once."""
+    """Injected fault: a read trusts a majority's first answer."""
     client.proposer.read = client.proposer.glance  # type: ignore[method-assign]
 
 
 def ballot_again(client: Client) -> None:
-    """Planted: two starts of one process are one to the voters."""
+    """Injected fault: two incarnations of one process use the same proposer identifier."""
     client.proposer.proposer_id = client.name
--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -400,13 +400,13 @@
 def test_an_injected_fault_is_removed_again() -> None:
     before = (
         reconfiguration_fuzz.Roster.begin_change,
-        reconfiguration_fuzz.reseating.complete_reconfiguration,
+        reconfiguration_fuzz.reconfiguration.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     )
     for bug in reconfiguration_fuzz.INJECTED_FAULTS:
         reconfiguration_fuzz.play(1, bug=bug)
     assert (
         reconfiguration_fuzz.Roster.begin_change,
-        reconfiguration_fuzz.reseating.complete_reconfiguration,
+        reconfiguration_fuzz.reconfiguration.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     ) == before
