--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -34,10 +34,10 @@
     seconds = LENGTH_MS / 1000.0
     sent = [play.environment.sent_bytes.get(member.name, 0) / seconds for member in play.members]
     voters = [
-        rate for member, rate in zip(play.members, sent, strict=True) if member.name in play.plan.voters
+        rate for member, rate in zip(play.members, sent, strict=True) if member.name in play.config.voters
     ]
     others = [
-        rate for member, rate in zip(play.members, sent, strict=True) if member.name not in play.plan.voters
+        rate for member, rate in zip(play.members, sent, strict=True) if member.name not in play.config.voters
     ]
     return (
         f"{members:4}  watch {watch_ms:6.0f}  bytes/s voter {sum(voters) / len(voters):8.0f}  "
