--- a/benchmarks/register_flush.py
+++ b/benchmarks/register_flush.py
@@ -12,7 +12,7 @@
 from hdrh.histogram import HdrHistogram
 
 from myrtlecrank.fleet.register.caspaxos import Voter
-from myrtlecrank.fleet.register.disk import Disk
+from myrtlecrank.fleet.register.disk import VoterFile
 from myrtlecrank.fleet.register.messages import Accept, Ballot, Record
 
 ROUNDS, TOGETHER, KEYS = 300, 16, 20
@@ -20,8 +20,8 @@
 
 def measured(folder: str, flush: bool, together: int) -> tuple[float, float, float]:
     """Votes a second, median and 99th percentile of a flush in ms."""
-    disk = Disk(folder, "bench", f"v{flush}{together}")
-    disk.found(["o", "p", "v"])
+    disk = VoterFile(folder, "bench", f"v{flush}{together}")
+    disk.create(["o", "p", "v"])
     voter = Voter("v", ["o", "p"], disk.load(), disk.save if flush else lambda _: True)
     times = HdrHistogram(1, 60_000_000, 3)
     begun = time.perf_counter()
--- a/benchmarks/repeats.py
+++ b/benchmarks/repeats.py
@@ -18,23 +18,34 @@
 from loguru import logger
 
 from myrtlecrank.core.actor import Core
-from myrtlecrank.core.messages import Answer, Arrived, Greeted, Launch, RunEnded, Sample, Sampled, Ticket
+from myrtlecrank.core.messages import (
+    AgentConnected,
+    Answer,
+    ExchangeArrived,
+    ExchangeRequest,
+    GaugesSampled,
+    RunEnded,
+    SampleGauges,
+    StartRun,
+)
 from myrtlecrank.policy.interface import Gauges, Outcome
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from rig.fleet import Scene
 
 ROUNDS, EXCHANGES, GAP_MS = 9, 4000, 85.0
 
 
 class Bench:
-    def __init__(self, bounds: Bounds | None) -> None:
+    def __init__(self, options: RetryOptions | None) -> None:
         self.commands: list[Any] = []
         self.answers = 0
-        facts = Scene().facts(1)
-        self.core = Core(facts, 3200.0, self.commands.append, lambda _: None, now=0.0, repeats=bounds)
+        settings = Scene().facts(1)
+        self.core = Core(
+            settings, 3200.0, self.commands.append, lambda _: None, now=0.0, retry_options=options
+        )
         self.chance = random.Random(1)
         self.now, self.count = 0.0, 0
-        self.core.process_batch([Greeted(False, 60_000.0)], 0.0)
+        self.core.process_batch([AgentConnected(False, 60_000.0)], 0.0)
 
     def _answer(self, _: Answer) -> None:
         self.answers += 1
@@ -45,10 +56,10 @@
         chance = self.chance
         repeat = chance.random() < 0.3
         wait = chance.uniform(200.0, 2400.0) if repeat else 1000.0
-        ident = f"{self.count:016x}"
+        exchange_id = f"{self.count:016x}"
         body = (b"subject %d " % self.count) * 60
-        ticket = Ticket(
-            ident,
+        request = ExchangeRequest(
+            exchange_id,
             self.count % 2,
             self.count % 6,
             self.now - 20.0,
@@ -60,13 +71,15 @@
             body,
             self._answer,
         )
-        self.core.process_batch([Arrived(ticket)], self.now)
+        self.core.process_batch([ExchangeArrived(request)], self.now)
         for command in self.commands:
-            if isinstance(command, Launch):
-                ended = RunEnded(command.ident, Outcome.OK, 15.0, b"")
+            if isinstance(command, StartRun):
+                ended = RunEnded(command.exchange_id, Outcome.OK, 15.0, b"")
                 self.core.process_batch([ended], self.now + 1.0)
-            elif isinstance(command, Sample):
-                self.core.process_batch([Sampled(command.tag, Gauges(0.5, 3.0, 0.1, 24.0))], self.now + 1.0)
+            elif isinstance(command, SampleGauges):
+                self.core.process_batch(
+                    [GaugesSampled(command.tag, Gauges(0.5, 3.0, 0.1, 24.0))], self.now + 1.0
+                )
         self.commands.clear()
 
     def round(self) -> float:
@@ -77,20 +90,20 @@
         return (time.process_time() - began) * 1000.0 / EXCHANGES
 
 
-def memory(bounds: Bounds | None) -> float:
+def memory(options: RetryOptions | None) -> float:
     """MB held after a round, without what is outside of Python's own memory."""
     tracemalloc.start()
-    bench = Bench(bounds)
+    bench = Bench(options)
     bench.round()
     held = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    repeats = bench.core.repeats
-    return held + (repeats.uncompleted.size_bytes / 1e6 if repeats is not None else 0.0)
+    estimator = bench.core.retry_estimator
+    return held + (estimator.uncompleted.size_bytes / 1e6 if estimator is not None else 0.0)
 
 
 def main() -> dict[str, float]:
     logger.remove()
-    sides = {"on": Bench(Bounds()), "off": Bench(None)}
+    sides = {"on": Bench(RetryOptions()), "off": Bench(None)}
     costs: dict[str, list[float]] = {"on": [], "off": []}
     for bench in sides.values():
         bench.round()  # warm
@@ -102,7 +115,7 @@
         "actor_us_on": round(on * 1000.0, 1),
         "actor_us_off": round(off * 1000.0, 1),
         "actor_ratio": round(on / off, 3),
-        "memory_mb": round(memory(Bounds()) - memory(None), 2),
+        "memory_mb": round(memory(RetryOptions()) - memory(None), 2),
     }
 
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -47,18 +47,18 @@
                 case ["subscribe", _]:
                     link.sendall(b"greeting LOADED 60000\r\n")
                     self.up.set()
-                case ["launch", ident, group, length]:
+                case ["launch", exchange_id, group, length]:
                     body = file.read(int(length) + 2)[:-2]
-                    print(f"agent:  runs {ident} of {group}")
-                    gevent.spawn_later(0.1, self.end, link, ident, "PASS", body.upper())
-                case ["freeze", ident]:
-                    self.end(link, ident, "KILLED", b"")
+                    print(f"agent:  runs {exchange_id} of {group}")
+                    gevent.spawn_later(0.1, self.end, link, exchange_id, "PASS", body.upper())
+                case ["freeze", exchange_id]:
+                    self.end(link, exchange_id, "KILLED", b"")
                 case ["sample", tag]:
                     link.sendall(f"sampled {tag} 0.1 1 0.05 1\r\n".encode())
 
-    def end(self, link: socket.socket, ident: str, end: str, result: bytes) -> None:
+    def end(self, link: socket.socket, exchange_id: str, end: str, result: bytes) -> None:
         self.notices += 1
-        head = f"outcome {self.notices} {ident} {end} 100 {len(result)}\r\n"
+        head = f"outcome {self.notices} {exchange_id} {end} 100 {len(result)}\r\n"
         link.sendall(head.encode() + result + b"\r\n")
 
 
--- a/myrtlecrank/agent/client.py
+++ b/myrtlecrank/agent/client.py
@@ -12,18 +12,18 @@
 from loguru import logger
 
 from myrtlecrank.agent import codec
-from myrtlecrank.core.connection_errors import End, of_error
+from myrtlecrank.core.connection_errors import CloseReason, reason_of_error
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.messages import (
-    AtCall,
-    Command,
-    Event,
-    Greeted,
-    Launch,
-    Parted,
+    AgentCommand,
+    AgentConnected,
+    AgentDisconnected,
+    CallRequested,
+    CoreEvent,
+    GaugesSampled,
     RunEnded,
-    Sampled,
-    Unsent,
+    StartRun,
+    StartsNotSent,
 )
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Gauges, Outcome
@@ -45,20 +45,21 @@
     read_at_ms: float  # monotonic
 
 
-class Link:
-    """Reads notices on one greenlet (`run`) and writes commands from its mailbox on another (`write`).
+class AgentClient:
+    """Reads notices on one greenlet (`run`) and writes commands from its mailbox on another
+    (`write_commands`).
 
     `gauges` names the fields of Gauges for the values of a sample, in their order; an empty name skips a
     value.
     """
 
     def __init__(
-        self, address: tuple[str, int], gauges: list[str], post_event: Callable[[Event], None]
+        self, address: tuple[str, int], gauges: list[str], post_event: Callable[[CoreEvent], None]
     ) -> None:
         self.address = address
         self.gauges = gauges
         self.post_event = post_event
-        self.mailbox: Mailbox[Command] = Mailbox(MAILBOX_MESSAGES)
+        self.mailbox: Mailbox[AgentCommand] = Mailbox(MAILBOX_MESSAGES)
         self.last_notice = 0  # the number of the last notice that was read
         self.is_connected = False  # the agent has sent its greeting on this connection
         self.was_ever_connected = False
@@ -66,10 +67,10 @@
         self.received_since_check = False
         self.silent_ticks = 0
         self.sock: socket.socket | None = None
-        self.drop_reason: End | None = None
+        self.drop_reason: CloseReason | None = None
         self.last_uptime: _Uptime | None = None
         self.subscribed_at_ms = 0.0  # monotonic; when the awaited greeting was requested
-        self.has_restarted = False  # the agent has restarted since the last Greeted event
+        self.has_restarted = False  # the agent has restarted since the last AgentConnected event
         self.address_changed = Flag()  # since the last attempt to connect
 
     def run(self) -> None:
@@ -79,16 +80,16 @@
             self.is_connected = False
             self.drop_reason = None
             self.address_changed.clear()
-            end = self._run_session()
-            end = self.drop_reason or end
+            reason = self._run_session()
+            reason = self.drop_reason or reason
             if self.is_connected:
                 pause_s = FIRST_PAUSE_S
-                logger.warning("the agent's link {}", end.value)
-                self.post_event(Parted(end))
+                logger.warning("the agent's link {}", reason.value)
+                self.post_event(AgentDisconnected(reason))
             address_changed = self.address_changed.wait(pause_s)
             pause_s = FIRST_PAUSE_S if address_changed else min(MAX_PAUSE_S, 2.0 * pause_s)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Leaves the old address at once, in whatever state the connection is.
 
         The numbers of the notices that were read stay valid: the new connection subscribes from the last of
@@ -97,9 +98,9 @@
         if address != self.address:
             self.address = address
             self.address_changed.set()
-            self._drop(End.LEFT)
+            self._drop(CloseReason.CLOSED_LOCALLY)
 
-    def write(self) -> None:
+    def write_commands(self) -> None:
         """Writes the commands, many at a time.
 
         While there is no connection, start commands are reported as not sent. Other commands are dropped: the
@@ -109,9 +110,9 @@
             commands = self.mailbox.take()
             sock, buffer = self.sock, self.outgoing
             if sock is None or not self.is_connected or self.drop_reason is not None:
-                unsent = [command.ident for command in commands if isinstance(command, Launch)]
+                unsent = [command.exchange_id for command in commands if isinstance(command, StartRun)]
                 if unsent:
-                    self.post_event(Unsent(unsent))
+                    self.post_event(StartsNotSent(unsent))
                 continue
             try:
                 buffer.append(b"".join(map(codec.encode_command, commands)))
@@ -119,9 +120,9 @@
                     buffer.discard(sock.send(buffer.readable_view()))
             except OSError as error:
                 if sock is self.sock:  # that connection may have ended, and another may be open by now
-                    self._drop(of_error(error))
+                    self._drop(reason_of_error(error))
 
-    def look(self, _: float) -> None:
+    def check_silence(self, _: float) -> None:
         """Drops a connection that hangs without closing, in either direction; called on each sampling tick.
 
         Before the first greeting silence is normal, as the machine may come up long after this program. Ticks
@@ -131,15 +132,15 @@
         self.silent_ticks = self.silent_ticks + 1 if is_silent else 0
         self.received_since_check = False
         if self.silent_ticks >= MAX_SILENT_TICKS:
-            self._drop(End.SILENT)
+            self._drop(CloseReason.UNRESPONSIVE)
 
-    def _drop(self, end: End) -> None:
+    def _drop(self, reason: CloseReason) -> None:
         """Closes the socket; the reading greenlet wakes, reports the end and connects again."""
-        self.drop_reason = self.drop_reason or end
+        self.drop_reason = self.drop_reason or reason
         if self.sock is not None:
             self.sock.close()
 
-    def _run_session(self) -> End:
+    def _run_session(self) -> CloseReason:
         sock = self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.received_since_check = True
         self.outgoing = RingBuffer()
@@ -152,20 +153,20 @@
             sock.settimeout(None)  # the machine may come up long after this
             return self._read_notices(sock, RingBuffer(READ_BUFFER_BYTES))
         except OSError as error:
-            return of_error(error)
+            return reason_of_error(error)
         except codec.ProtocolError as error:
             logger.error("the agent sent {}", error)
-            return End.BROKEN
+            return CloseReason.PROTOCOL_ERROR
         finally:
             self.sock = None
             sock.close()
 
-    def _read_notices(self, sock: socket.socket, buffer: RingBuffer) -> End:
+    def _read_notices(self, sock: socket.socket, buffer: RingBuffer) -> CloseReason:
         while True:
             free = buffer.writable_view()
             count = sock.recv_into(free)
             if count == 0:
-                return End.CLOSED
+                return CloseReason.CLOSED_BY_PEER
             was_filled = count == len(free)
             buffer.mark_written(count)
             self.received_since_check = True
@@ -176,7 +177,7 @@
                         # would hide them.
                         self.last_notice = 0
                         self.has_restarted = True
-                        return End.LEFT
+                        return CloseReason.CLOSED_LOCALLY
                     self.is_connected = self.was_ever_connected = True
                 self.handle_notice(notice)
             if was_filled:
@@ -200,25 +201,25 @@
         """Posts the event that a notice stands for; a numbered notice counts once."""
         match notice:
             case codec.GreetingNotice(is_cold, uptime_ms):
-                self.post_event(Greeted(is_cold, uptime_ms, self.has_restarted))
+                self.post_event(AgentConnected(is_cold, uptime_ms, self.has_restarted))
                 self.has_restarted = False
             case codec.OutcomeNotice(number, exchange_id, outcome, duration_ms, result):
                 if self._claim_number(number):
                     self.post_event(RunEnded(exchange_id, outcome, duration_ms, result))
             case codec.RequestNotice(number, exchange_id, body):
                 if self._claim_number(number):
-                    self.post_event(AtCall(exchange_id, body))
+                    self.post_event(CallRequested(exchange_id, body))
             case codec.SampledNotice(tag, values):
                 gauges = Gauges()
                 for name, value in zip(self.gauges, values, strict=False):
                     if name:
                         setattr(gauges, name, value)
-                self.post_event(Sampled(tag, gauges))
+                self.post_event(GaugesSampled(tag, gauges))
             case codec.RefusalNotice(command, exchange_id):
                 logger.warning("the agent refused the command {} for exchange {}", command, exchange_id)
                 # A refused start ran nothing; a run that the agent doesn't know has ended.
                 if command == "launch":
-                    self.post_event(RunEnded(exchange_id, Outcome.MOOT, 0.0, b"", refused=True))
+                    self.post_event(RunEnded(exchange_id, Outcome.NOT_STARTED, 0.0, b"", refused=True))
                 elif command == "freeze":
                     self.post_event(RunEnded(exchange_id, Outcome.CANCELLED, 0.0, b""))
             case codec.AsideNotice(number):
--- a/myrtlecrank/agent/codec.py
+++ b/myrtlecrank/agent/codec.py
@@ -10,7 +10,14 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from myrtlecrank.core.messages import Command, Deliver, Forgo, Freeze, Launch, Sample
+from myrtlecrank.core.messages import (
+    AgentCommand,
+    CancelRun,
+    DeliverCallResult,
+    SampleGauges,
+    SkipCall,
+    StartRun,
+)
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
@@ -24,7 +31,7 @@
     "PASS": Outcome.OK,
     "FAIL": Outcome.ERROR,
     "KILLED": Outcome.CANCELLED,
-    "NOOP": Outcome.MOOT,
+    "NOOP": Outcome.NOT_STARTED,
 }
 # The notices that are followed by counted bytes, and the number of words in their lines.
 COUNTED_NOTICE_WORDS = {"outcome": 6, "request": 4}
@@ -177,16 +184,16 @@
     return b"subscribe %d\r\n" % last_notice
 
 
-def encode_command(command: Command) -> bytes:
+def encode_command(command: AgentCommand) -> bytes:
     """Returns a command as its line, with the body where it has one."""
     match command:
-        case Launch(exchange_id, group, body):
+        case StartRun(exchange_id, group, body):
             return b"launch %b %b %d\r\n%b\r\n" % (exchange_id.encode(), group.encode(), len(body), body)
-        case Freeze(exchange_id):
+        case CancelRun(exchange_id):
             return b"freeze %b\r\n" % exchange_id.encode()
-        case Sample(tag):
+        case SampleGauges(tag):
             return b"sample %b\r\n" % tag.encode()
-        case Deliver(exchange_id, result):
+        case DeliverCallResult(exchange_id, result):
             return b"deliver %b %d\r\n%b\r\n" % (exchange_id.encode(), len(result), result)
-        case Forgo(exchange_id):
+        case SkipCall(exchange_id):
             return b"forgo %b\r\n" % exchange_id.encode()
--- a/myrtlecrank/cli.py
+++ b/myrtlecrank/cli.py
@@ -11,13 +11,13 @@
 
 from myrtlecrank import __version__, configuration, subsystems
 from myrtlecrank.configuration import Configuration, ConfigurationError
-from myrtlecrank.operators.file import OperatorsError, section_definition
+from myrtlecrank.operators.file import OperatorsFileError, section_definition
 from myrtlecrank.operators.sections import describe_options
 from myrtlecrank.signals import block_signals
 from myrtlecrank.subsystems import OperatorOptions
 
 if TYPE_CHECKING:
-    from myrtlecrank.fleet.options import Bounds
+    from myrtlecrank.fleet.options import FleetOptions
 
 EXIT_FAILED = 1
 EXIT_INVALID_INPUT = 2
@@ -39,7 +39,7 @@
 def _load_operator_options(path: str | None) -> OperatorOptions:
     try:
         return subsystems.load(path)
-    except OperatorsError as error:
+    except OperatorsFileError as error:
         for line in str(error).splitlines():
             click.echo(f"myrtlecrank: {line}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
@@ -48,9 +48,9 @@
 def _check_fleet_membership(config: Configuration, options: OperatorOptions) -> None:
     """Ends the program if the operators' file has a fleet that the configured backend is no member of."""
     if options.fleet is not None:
-        from myrtlecrank.fleet.options import placed
+        from myrtlecrank.fleet.options import membership_error
 
-        mistake = placed(options.fleet, config.name)
+        mistake = membership_error(options.fleet, config.name)
         if mistake is not None:
             click.echo(f"myrtlecrank: {options.path}: {mistake}", err=True)
             sys.exit(EXIT_INVALID_INPUT)
@@ -170,7 +170,7 @@
         return self._group().get_command(ctx, cmd_name)
 
 
-def _fleet_options(operators_file: str | None) -> Bounds:
+def _fleet_options(operators_file: str | None) -> FleetOptions:
     options = _load_operator_options(operators_file).fleet
     if options is None:
         click.echo("myrtlecrank: the operators' file has no section [fleet] that is on", err=True)
--- a/myrtlecrank/configuration.py
+++ b/myrtlecrank/configuration.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-from myrtlecrank.policy.interface import Below, StartFacts
-from myrtlecrank.settings import FieldError, Fields, gauge_names, start_facts
+from myrtlecrank.policy.interface import ControllerSettings, DependencyKind
+from myrtlecrank.settings import FieldError, Fields, controller_settings, gauge_attributes
 
 PATH_VARIABLE = "PROXY_CONFIG"
 MAX_FILE_BYTES = 4_000_000  # a longer file is no configuration, and reading it would fill the memory
@@ -34,7 +34,7 @@
     dependency_address: tuple[str, int] | None  # None where the site has no dependency
     stop_ms: float  # from SIGTERM until the platform kills the process
     sockets: int
-    settings: StartFacts
+    settings: ControllerSettings
     gauges: list[str]
     raw_values: dict[str, Any]  # the JSON object as it was written
 
@@ -104,10 +104,10 @@
 def parse(fields: Fields) -> Configuration:
     """Checks the values of the whole file. Raises FieldError, ValueError, TypeError or OverflowError."""
     settings_fields = fields.inner("settings")
-    settings = start_facts(settings_fields, _seed(fields))
+    settings = controller_settings(settings_fields, _seed(fields))
     # Over sockets each answer belongs to the exchange that it was produced for: the protocol cannot mark an
     # answer as shared with another exchange, whatever the settings allow.
-    settings.share_for = 0.0
+    settings.shared_result_lifetime = 0.0
     if not settings.groups or settings.cores < 1 or settings.memory_kb <= 0:
         raise FieldError(
             f"{settings_fields.where}: must have at least one category, one core and a memory limit above 0"
@@ -121,10 +121,12 @@
         listen_address=_address(fields, "listen"),
         agent_address=_address(fields, "agent"),
         membership_list_address=_address(fields, "members"),
-        dependency_address=None if settings.below is Below.NONE else _address(fields, "records"),
+        dependency_address=None
+        if settings.dependency is DependencyKind.NONE
+        else _address(fields, "records"),
         stop_ms=_positive(fields, "stop_ms"),
         sockets=int(_positive(fields.inner("limits"), "sockets")),
         settings=settings,
-        gauges=gauge_names(settings_fields),
+        gauges=gauge_attributes(settings_fields),
         raw_values=fields.values,
     )
--- a/myrtlecrank/core/actor.py
+++ b/myrtlecrank/core/actor.py
@@ -15,43 +15,43 @@
 from gevent import get_hub
 from loguru import logger
 
-from myrtlecrank.core.connection_errors import OUTCOMES, End
+from myrtlecrank.core.connection_errors import OUTCOME_BY_REASON, CloseReason
 from myrtlecrank.core.exchange_entry import ExchangeEntry
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.messages import (
-    Abandon,
-    Adopt,
+    AgentCommand,
+    AgentConnected,
+    AgentDisconnected,
     Answer,
-    Arrived,
-    AtCall,
-    Below,
-    Call,
     CallEnded,
-    CallersLeft,
-    Command,
-    Deliver,
-    Event,
-    Forgo,
-    Freeze,
-    Greeted,
-    Launch,
-    Leave,
-    Parted,
+    CallRequested,
+    CancelCall,
+    CancelRun,
+    CoreEvent,
+    DeliverCallResult,
+    DependencyCommand,
+    DrainRequested,
+    ExchangeArrived,
+    ExchangeRequest,
+    ExchangesAbandoned,
+    GaugesSampled,
+    RetryOptionsChanged,
     RunEnded,
-    Sample,
-    Sampled,
-    Ticket,
-    Unsent,
+    SampleGauges,
+    SkipCall,
+    StartCall,
+    StartRun,
+    StartsNotSent,
     Verdict,
 )
-from myrtlecrank.core.published_state import Board
+from myrtlecrank.core.published_state import PublishedState
 from myrtlecrank.core.result_cache import ResultCache
 from myrtlecrank.policy import interface
 from myrtlecrank.policy.controller import Controller
-from myrtlecrank.policy.interface import Gauges, Kind, Outcome
-from myrtlecrank.retries import exchange_marks
-from myrtlecrank.retries.estimator import Repeats, StormStatus
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.policy.interface import EffectKind, Gauges, Outcome
+from myrtlecrank.retries import exchange_estimates
+from myrtlecrank.retries.estimator import RetryEstimator, StormStatus
+from myrtlecrank.retries.options import RetryOptions
 from myrtlecrank.retries.storm_log import StormLog
 
 MAILBOX_CAPACITY = 2048  # messages
@@ -59,7 +59,7 @@
 CONFLICT_WAIT_MS = 1000.0  # the longest that a conflicting request waits for the one before it
 CONFLICT_CUTOFF_MS = 200.0  # before the process is stopped, all conflicting requests are answered
 IDLE_TICK_MS = 100.0  # sampling interval while there is no controller to set one
-PROVEN_NOT_EXECUTED = (Outcome.MOOT, Outcome.UNREACHED)
+PROVEN_NOT_EXECUTED = (Outcome.NOT_STARTED, Outcome.UNREACHED)
 RESYNC_TAG = "m"  # a sample's tag is one of these letters and the number of the command
 TICK_TAG = "b"
 TimerCallback = Callable[[], object]
@@ -79,38 +79,40 @@
 
 
 class Core:
-    """The actor that owns the controller. Other actors send to its `mailbox` and read its `board`."""
+    """The actor that owns the controller. Other actors send to its `mailbox` and read its `published`
+    state."""
 
     def __init__(
         self,
-        facts: interface.StartFacts,
+        settings: interface.ControllerSettings,
         stop_ms: float,
-        send_to_agent: Callable[[Command], None],
+        send_to_agent: Callable[[AgentCommand], None],
         report_health: Callable[[bool], None],
         now: float | None = None,
-        repeats: Bounds | None = None,
-        below: Callable[[Below], None] | None = None,
+        retry_options: RetryOptions | None = None,
+        send_to_dependency: Callable[[DependencyCommand], None] | None = None,
     ) -> None:
-        """`stop_ms`: from the drain request until the process is stopped; `repeats`: options of the retry
-        estimator, None: it is off; `below`: sends to the dependency, None: there is none."""
-        self.mailbox: Mailbox[Event] = Mailbox(MAILBOX_CAPACITY)
-        self.board = Board(idle=facts.idle)
-        self.facts = facts
+        """`stop_ms`: from the drain request until the process is stopped; `retry_options`: those of the retry
+        estimator, None: it is off; `send_to_dependency`: passes commands on, None: there is none."""
+        self.mailbox: Mailbox[CoreEvent] = Mailbox(MAILBOX_CAPACITY)
+        self.published = PublishedState(idle_limit=settings.idle_timeout)
+        self.settings = settings
         self.stop_ms = stop_ms
         self.send_to_agent = send_to_agent
         self.report_health = report_health
-        self.below = below
-        self.on_beat: list[Callable[[float], None]] = []  # called on each sampling tick with the time
-        self.on_shut: list[Callable[[], None]] = []  # called when new exchanges would no longer be executed
+        self.send_to_dependency = send_to_dependency
+        self.on_tick: list[Callable[[float], None]] = []  # called on each sampling tick with the time
+        # Called when new exchanges would no longer be executed.
+        self.on_stop_accepting: list[Callable[[], None]] = []
         self.now = now_ms() if now is None else now
         self.controller: Controller | None = None  # None until the agent has connected for the first time
-        self.repeats: Repeats | None = None
+        self.retry_estimator: RetryEstimator | None = None
         self.storm_log = StormLog()
         self.agent_connected = False
         self.entries_by_id: dict[str, ExchangeEntry] = {}
         self.entries_by_exchange: dict[interface.Exchange, ExchangeEntry] = {}
         self.unanswered = 0
-        self.cache = ResultCache(facts)
+        self.cache = ResultCache(settings)
         self.timers: list[tuple[float, int, TimerCallback]] = []  # a heap
         self.next_number = count(1).__next__  # of commands and timers alike
         # Tags of the samples whose return ends a resynchronisation with the agent, or a sampling tick.
@@ -126,7 +128,7 @@
         self.stop_at: float | None = None  # when the process is stopped; None: no drain was requested
         self.loop_timer = get_hub().loop.timer(0.0)
         self.loop_timer_due = 0.0
-        self._configure_retry_estimator(repeats)
+        self._configure_retry_estimator(retry_options)
         self._tick_until_start()
 
     def run(self) -> None:
@@ -151,7 +153,7 @@
         self.loop_timer_due = 0.0
         self.mailbox.wake()
 
-    def process_batch(self, events: list[Event], now: float) -> None:
+    def process_batch(self, events: list[CoreEvent], now: float) -> None:
         """Handles the events, then the timers that are due, and lets the controller decide once on all."""
         self.now = max(self.now, now)  # the controller's clock never steps back
         for event in events:
@@ -161,27 +163,29 @@
         if self.controller is not None:
             self.controller.settle(self.now)
 
-    def _handle_event(self, event: Event) -> None:
+    def _handle_event(self, event: CoreEvent) -> None:
         match event:
-            case Arrived(request):
+            case ExchangeArrived(request):
                 self._exchange_arrived(request)
             case RunEnded(exchange_id, outcome, duration, result, refused):
                 self._run_ended(exchange_id, outcome, duration, result, not refused)
-            case AtCall(exchange_id, body):
+            case CallRequested(exchange_id, body):
                 self._call_requested(exchange_id, body)
             case CallEnded(exchange_id, outcome, result):
                 self._call_ended(exchange_id, outcome, result)
-            case Sampled(tag, gauges):
+            case GaugesSampled(tag, gauges):
                 self._gauges_sampled(tag, gauges)
-            case CallersLeft(requests):
+            case ExchangesAbandoned(requests):
                 for request in requests:
                     self._abandoned_by_caller(request)
-            case Greeted(cold, uptime, restarted):
+            case AgentConnected(cold, uptime, restarted):
                 self._agent_connected(cold, uptime, restarted)
-            case Parted(reason):
+            case AgentDisconnected(reason):
                 # Even if the agent is unreachable now, what was sent on an earlier connection may have run.
-                self._agent_disconnected(Outcome.RESET if reason is End.UNREACHED else OUTCOMES[reason])
-            case Unsent(exchange_ids):
+                self._agent_disconnected(
+                    Outcome.RESET if reason is CloseReason.CONNECT_FAILED else OUTCOME_BY_REASON[reason]
+                )
+            case StartsNotSent(exchange_ids):
                 for exchange_id in exchange_ids:
                     entry = self.entries_by_id.get(exchange_id)
                     if entry is not None and entry.running:
@@ -189,9 +193,9 @@
                         entry.lost_start_outcome = Outcome.UNREACHED
                         entry.start_number = 0
                         self.entries_in_doubt[entry] = None
-            case Leave(requested_at):
+            case DrainRequested(requested_at):
                 self._drain_requested(requested_at)
-            case Adopt(options):
+            case RetryOptionsChanged(options):
                 self._configure_retry_estimator(options)
 
     # Start, drain, and the connection to the agent
@@ -204,21 +208,21 @@
             # The agent first sends the reports of the outage; entries in doubt are settled after those.
             self.resync_tag = self._request_sample(RESYNC_TAG)
             return
-        self.facts.cold = cold
+        self.settings.cold = cold
         logger.info("the machine is up for {:.0f} ms, {}", uptime, "cold" if cold else "warm")
-        self.controller = Controller(self.facts, self._execute, self.now - uptime)
+        self.controller = Controller(self.settings, self._execute, self.now - uptime)
         if self.stop_at is not None:
             # The drain grace period counts from the drain request, even if the agent connects late.
-            self.controller.leave(self.stop_ms, self.drain_requested_at)
+            self.controller.start_drain(self.stop_ms, self.drain_requested_at)
 
     def _agent_restarted(self, controller: Controller, cold: bool, uptime: float) -> None:
         """Ends the executions that died with the agent's process: their ends will never be reported. The
         machine may be cold."""
         logger.warning("the machine has begun anew, {}", "cold" if cold else "warm")
-        controller.machine_began(cold, self.now - uptime)
+        controller.machine_started(cold, self.now - uptime)
         for entry in list(self.entries_by_id.values()):
             if entry.running and entry.lost_start_outcome is not Outcome.UNREACHED:
-                self._run_ended(entry.request.ident, Outcome.CANCELLED, 0.0, b"", confirmed=True)
+                self._run_ended(entry.request.exchange_id, Outcome.CANCELLED, 0.0, b"", confirmed=True)
 
     def _agent_disconnected(self, lost_start_outcome: Outcome) -> None:
         """Commands sent after the last returned sample may be lost with the connection."""
@@ -238,7 +242,7 @@
         commands that may safely be repeated."""
         for entry in list(self.entries_by_id.values()):
             never_sent = entry.lost_start_outcome is Outcome.UNREACHED
-            repeatable = self.facts.groups[entry.request.group].kind is Kind.REPEATABLE
+            repeatable = self.settings.groups[entry.request.group].kind is EffectKind.REPEATABLE
             if entry.running and entry.cancel_requested:
                 self._end_lost_run(entry) if never_sent else self._send_cancel(entry)
             elif entry.running and entry.lost_start_outcome is not None and (never_sent or repeatable):
@@ -252,7 +256,7 @@
         cancel command, so it would otherwise count as running, and occupy its capacity, for ever."""
         assert entry.lost_start_outcome is not None
         self._answer(entry, Verdict.TERMINATED)
-        self._run_ended(entry.request.ident, entry.lost_start_outcome, 0.0, b"", confirmed=False)
+        self._run_ended(entry.request.exchange_id, entry.lost_start_outcome, 0.0, b"", confirmed=False)
 
     def _drain_requested(self, requested_at: float) -> None:
         if self.stop_at is not None:
@@ -263,67 +267,69 @@
         self.stop_at = self.drain_requested_at + self.stop_ms
         self._add_timer(self.stop_at - CONFLICT_CUTOFF_MS, self._reject_all_conflicts)
         if self.controller is not None:
-            grace_end = self.controller.leave(self.stop_ms, self.drain_requested_at)
+            grace_end = self.controller.start_drain(self.stop_ms, self.drain_requested_at)
             self._add_timer(grace_end, self._stop_accepting)
         else:
-            self.board.well = False
+            self.published.healthy = False
             self.report_health(False)
             self._stop_accepting()
 
     def _stop_accepting(self) -> None:
         """From now on, new exchanges would not be executed."""
-        self.board.shut = True
-        for hook in self.on_shut:
+        self.published.stopped_accepting = True
+        for hook in self.on_stop_accepting:
             hook()
 
     # Exchanges
 
-    def _exchange_arrived(self, request: Ticket) -> None:
+    def _exchange_arrived(self, request: ExchangeRequest) -> None:
         if self.controller is None:
             logger.warning("an exchange is terminated: it arrived before the agent had connected")
-            request.answer(Answer(request, Verdict.TERMINATED))
+            request.send_answer(Answer(request, Verdict.TERMINATED))
             return
         original = self.cache.find(request, self.now)
-        conflicting = self.entries_by_id.get(request.ident)
+        conflicting = self.entries_by_id.get(request.exchange_id)
         if conflicting is None and original is not None and self.cache.is_deduplicated(original):
             # All tries of an exchange have the same body: a different one shows that a foreign key is used.
             conflicting = original if original.request_hash != hash(request.body) else None
         if conflicting is not None:
             self._add_conflict(conflicting, request)
             return
-        waited = max(0.0, self.now - request.reached)
+        waited = max(0.0, self.now - request.arrived_at)
         exchange = interface.Exchange(
             group=request.group,
-            left=None if request.wait is None else request.wait - waited,
-            waited=waited,
-            kb=request.kb,
+            remaining_time=None if request.caller_timeout is None else request.caller_timeout - waited,
+            read_delay=waited,
+            memory_kb=request.kb,
             caller=request.caller,
             tenant=request.tenant,
             rank=request.rank,
-            keyed=bool(request.about),
-            earlier=original.exchange if original else None,
+            names_subject=bool(request.result_key),
+            original=original.exchange if original else None,
+        )
+        exchange_estimates.estimate_arrival(
+            self.retry_estimator, exchange, request.body, request.caller_timeout, self.now
         )
-        exchange_marks.arrived(self.repeats, exchange, request.body, request.wait, self.now)
         entry = ExchangeEntry(request, exchange, original)
-        self.entries_by_id[request.ident] = entry
+        self.entries_by_id[request.exchange_id] = entry
         self.entries_by_exchange[exchange] = entry
         self.unanswered += 1
         self.controller.arrived(exchange, self.now)
         self._remove_if_done(entry)
 
-    def _abandoned_by_caller(self, request: Ticket) -> None:
-        entry = self.entries_by_id.get(request.ident)
+    def _abandoned_by_caller(self, request: ExchangeRequest) -> None:
+        entry = self.entries_by_id.get(request.exchange_id)
         if entry is not None and entry.request is not request:
             self._reject_conflict(entry, request)
         if entry is None or entry.request is not request or entry.answered or self.controller is None:
             return
         self._mark_answered(entry)
-        if self.repeats is not None:
-            self.repeats.left(request.caller, self.now)
+        if self.retry_estimator is not None:
+            self.retry_estimator.record_abandonment(request.caller, self.now)
         self.controller.caller_left(entry.exchange, self.now)
         self._remove_if_done(entry)
 
-    def _add_conflict(self, entry: ExchangeEntry, request: Ticket) -> None:
+    def _add_conflict(self, entry: ExchangeEntry, request: ExchangeRequest) -> None:
         """Lets a request with the identifier of `entry`, or with its key and another body, wait for a limited
         time until the agent has accepted or refused `entry`: only the agent knows which of them is genuine.
         Clients that use the identifiers or keys of others, before or after them, thus gain nothing."""
@@ -348,14 +354,14 @@
         for entry in list(self.entries_with_conflicts):
             self._reject_conflicts(entry)
 
-    def _reject_conflict(self, entry: ExchangeEntry, request: Ticket) -> None:
+    def _reject_conflict(self, entry: ExchangeEntry, request: ExchangeRequest) -> None:
         if request in entry.conflicting_requests:
             entry.conflicting_requests.remove(request)
             if not entry.conflicting_requests:
                 self.entries_with_conflicts.pop(entry, None)
             self.unanswered -= 1
             logger.warning("an exchange is terminated: its identifier or key is in use")
-            request.answer(Answer(request, Verdict.TERMINATED))
+            request.send_answer(Answer(request, Verdict.TERMINATED))
 
     def _run_ended(
         self, exchange_id: str, outcome: Outcome, duration: float, result: bytes, confirmed: bool
@@ -380,8 +386,8 @@
             self._answer(entry, Verdict.COMPLETED, result=result)
         elif outcome is Outcome.ERROR:
             self._answer(entry, Verdict.TERMINATED)
-        self.controller.finished(entry.exchange, outcome, duration, self.now)
-        if outcome is Outcome.MOOT:
+        self.controller.run_ended(entry.exchange, outcome, duration, self.now)
+        if outcome is Outcome.NOT_STARTED:
             self._answer(entry, Verdict.TERMINATED)
         for waiter in entry.waiters:
             self._share_result(waiter, entry)
@@ -397,23 +403,23 @@
         entry: ExchangeEntry,
         verdict: Verdict,
         result: bytes = b"",
-        wait: float = 0.0,
-        last: bool = False,
+        retry_after: float = 0.0,
+        no_other_backend: bool = False,
     ) -> None:
         """Gives the final answer, unless one was given before."""
         if not entry.answered:
             self._mark_answered(entry)
-            exchange_marks.answered(
-                self.repeats,
+            exchange_estimates.record_answer(
+                self.retry_estimator,
                 entry.exchange,
                 entry.request.body,
                 verdict is not Verdict.COMPLETED,
-                wait,
-                self.board.value,
+                retry_after,
+                self.published.published_value,
                 self.now,
             )
             self._cancel_call(entry)
-            entry.request.answer(Answer(entry.request, verdict, result, wait, last))
+            entry.request.send_answer(Answer(entry.request, verdict, result, retry_after, no_other_backend))
 
     def _mark_answered(self, entry: ExchangeEntry) -> None:
         entry.answered = True
@@ -421,10 +427,15 @@
 
     def _remove_if_done(self, entry: ExchangeEntry) -> None:
         """Removes `entry` from the table once it is answered and not running."""
-        if entry.answered and not entry.running and self.entries_by_id.get(entry.request.ident) is entry:
-            del self.entries_by_id[entry.request.ident]
+        if (
+            entry.answered
+            and not entry.running
+            and self.entries_by_id.get(entry.request.exchange_id) is entry
+        ):
+            del self.entries_by_id[entry.request.exchange_id]
             del self.entries_by_exchange[entry.exchange]
-            entry.exchange.course = None  # breaks a reference cycle, or the two would wait for the collector
+            # Breaks a reference cycle, or the two would wait for the collector.
+            entry.exchange.controller_state = None
             if self.cache.is_deduplicated(entry):
                 entry.request.body = b""  # the entry may stay in the cache for long
             if entry.outcome is None:
@@ -439,7 +450,7 @@
             for request in conflicting_requests:
                 self._add_timer(self.now, partial(self._readmit, request))
 
-    def _readmit(self, request: Ticket) -> None:
+    def _readmit(self, request: ExchangeRequest) -> None:
         """Admits a request once the entry it conflicted with is gone and was not genuine, or never ran."""
         self.unanswered -= 1
         self._exchange_arrived(request)
@@ -452,29 +463,34 @@
                 entry = self.entries_by_exchange[exchange]
                 entry.running = True
                 self._send_start(entry)
-            case interface.Halt(exchange):
+            case interface.Cancel(exchange):
                 entry = self.entries_by_exchange[exchange]
                 entry.cancel_requested = True
                 if self.agent_connected:
                     self._send_cancel(entry)
             case interface.Deny(exchange, last, wait):
-                self._answer(self.entries_by_exchange[exchange], Verdict.DENIED, wait=wait, last=last)
+                self._answer(
+                    self.entries_by_exchange[exchange],
+                    Verdict.DENIED,
+                    retry_after=wait,
+                    no_other_backend=last,
+                )
                 self._remove_if_done(self.entries_by_exchange[exchange])
             case interface.Fail(exchange):
                 self._answer(self.entries_by_exchange[exchange], Verdict.TERMINATED)
                 self._remove_if_done(self.entries_by_exchange[exchange])
             case interface.Publish(value):
-                self.board.value = value
-            case interface.Health(healthy, _):
+                self.published.published_value = value
+            case interface.SetHealth(healthy, _):
                 # During a drain the backend stays unhealthy, even if the agent connects only then.
                 healthy = healthy and self.stop_at is None
-                if healthy != self.board.well:
+                if healthy != self.published.healthy:
                     logger.info("health is {}", "good" if healthy else "bad")
-                self.board.well = healthy
+                self.published.healthy = healthy
                 self.report_health(healthy)
-            case interface.IdleLimit(idle_limit):
-                self.board.idle = idle_limit
-            case interface.Alarm(name, delay):
+            case interface.SetIdleTimeout(idle_limit):
+                self.published.idle_limit = idle_limit
+            case interface.SetTimer(name, delay):
                 # Counted from when the last one was due, or each wait for gauges would lengthen the interval.
                 since = self.alarm_due if self.now - self.alarm_due < delay else self.now
                 self.alarm = (name, delay)
@@ -482,34 +498,34 @@
                 self._add_timer(self.alarm_due, self._alarm_is_due)
             case interface.Log(text):
                 logger.info("{}", text)
-            case interface.Retain(exchange, window):
+            case interface.CacheResult(exchange, window):
                 self.cache.store(self.entries_by_exchange[exchange], self.now + window)
-            case interface.Erase(exchange):
+            case interface.EvictResult(exchange):
                 self.cache.evict(self.entries_by_exchange[exchange])
-            case interface.Join(exchange):
+            case interface.AwaitOriginal(exchange):
                 self._wait_for_original(self.entries_by_exchange[exchange])
             case interface.Call(exchange, timeout):
                 entry = self.entries_by_exchange[exchange]
                 entry.call_started_at = self.now
-                self._send_to_dependency(Call(entry.request.ident, timeout, entry.call_body))
-            case interface.Skip(exchange):
+                self._send_to_dependency(StartCall(entry.request.exchange_id, timeout, entry.call_body))
+            case interface.SkipCall(exchange):
                 entry = self.entries_by_exchange[exchange]
-                self._send_resume(entry, Forgo(entry.request.ident))
+                self._send_resume(entry, SkipCall(entry.request.exchange_id))
 
     def _send_start(self, entry: ExchangeEntry) -> None:
         if self.agent_connected:
-            group_name = self.facts.groups[entry.request.group].name
+            group_name = self.settings.groups[entry.request.group].name
             entry.start_number = self.next_number()
             entry.lost_start_outcome = None
             self.entries_in_doubt.pop(entry, None)
-            self.send_to_agent(Launch(entry.request.ident, group_name, entry.request.body))
+            self.send_to_agent(StartRun(entry.request.exchange_id, group_name, entry.request.body))
         else:
             entry.lost_start_outcome = Outcome.UNREACHED
             self.entries_in_doubt[entry] = None
 
     def _send_cancel(self, entry: ExchangeEntry) -> None:
         entry.cancel_number = self.next_number()
-        self.send_to_agent(Freeze(entry.request.ident))
+        self.send_to_agent(CancelRun(entry.request.exchange_id))
 
     # Calls to the dependency: the execution waits until its call has ended and the result was handed on
 
@@ -517,7 +533,7 @@
         entry = self.entries_by_id.get(exchange_id)
         if entry is None or not entry.running or entry.call_started_at is not None or self.controller is None:
             return
-        if self.below is None:
+        if self.send_to_dependency is None:
             logger.warning("an execution asks for a dependency call, and the settings name no dependency")
             return
         entry.call_body = body
@@ -527,7 +543,7 @@
         entry.confirmed = True
         self.entries_in_doubt.pop(entry, None)
         self._decide_conflicts(entry)
-        self.controller.at_call(entry.exchange, self.now)
+        self.controller.call_reached(entry.exchange, self.now)
 
     def _call_ended(self, exchange_id: str, outcome: Outcome, result: bytes) -> None:
         entry = self.entries_by_id.get(exchange_id)
@@ -536,10 +552,10 @@
         duration = self.now - entry.call_started_at
         entry.call_started_at = None
         if outcome is Outcome.OK:
-            self._send_resume(entry, Deliver(exchange_id, result))
+            self._send_resume(entry, DeliverCallResult(exchange_id, result))
         self.controller.call_ended(entry.exchange, outcome, duration, self.now)
 
-    def _send_resume(self, entry: ExchangeEntry, command: Deliver | Forgo) -> None:
+    def _send_resume(self, entry: ExchangeEntry, command: DeliverCallResult | SkipCall) -> None:
         """Continues an execution that waits at its call. The command is kept, and sent again after a
         reconnection if it was lost or there was no connection: else the execution would wait for ever."""
         entry.resume_command = command
@@ -550,11 +566,11 @@
     def _cancel_call(self, entry: ExchangeEntry) -> None:
         if entry.call_started_at is not None:
             entry.call_started_at = None
-            self._send_to_dependency(Abandon(entry.request.ident))
+            self._send_to_dependency(CancelCall(entry.request.exchange_id))
 
-    def _send_to_dependency(self, command: Below) -> None:
-        assert self.below is not None  # without a dependency no call reaches the controller
-        self.below(command)
+    def _send_to_dependency(self, command: DependencyCommand) -> None:
+        assert self.send_to_dependency is not None  # without a dependency no call reaches the controller
+        self.send_to_dependency(command)
 
     # Timers and gauges
 
@@ -572,14 +588,14 @@
         """Requests a sample of the gauges, if the agent is connected. Returns its tag."""
         number = self.next_number()
         if self.agent_connected:
-            self.send_to_agent(Sample(f"{kind}{number}"))
+            self.send_to_agent(SampleGauges(f"{kind}{number}"))
         return f"{kind}{number}"
 
     def _tick(self) -> None:
         if self.controller is not None:
-            self.board.late = max(0.0, self.now - self.alarm_due)
-            self.board.warmth = self.controller.warmth()
-        for hook in self.on_beat:
+            self.published.tick_delay = max(0.0, self.now - self.alarm_due)
+            self.published.warmth = self.controller.warmth()
+        for hook in self.on_tick:
             hook(self.now)
 
     def _tick_until_start(self) -> None:
@@ -602,31 +618,31 @@
             self._settle_entries_in_doubt()
         elif tag == self.tick_tag and self.controller is not None:
             self.tick_tag = None
-            if self.repeats is not None:
-                gauges.storm = self._check_for_storm(self.repeats)
-            self.controller.alarm(self.alarm[0], gauges, self.now)
+            if self.retry_estimator is not None:
+                gauges.is_retry_storm = self._check_for_storm(self.retry_estimator)
+            self.controller.sample_due(self.alarm[0], gauges, self.now)
 
     # The retry estimator
 
-    def _configure_retry_estimator(self, options: Bounds | None) -> None:
+    def _configure_retry_estimator(self, options: RetryOptions | None) -> None:
         """Turns the estimator on or off, or changes its options. What it has learned stays as far as it fits
         the new ones; turning it off ends a storm."""
         if options is None:
-            self.repeats = None
+            self.retry_estimator = None
             self._log_storm(None)
-        elif self.repeats is None:
-            timeouts = [group.timeout for group in self.facts.groups]
-            self.repeats = Repeats(timeouts, self.facts.seed, options, self.now)
+        elif self.retry_estimator is None:
+            timeouts = [group.timeout for group in self.settings.groups]
+            self.retry_estimator = RetryEstimator(timeouts, self.settings.seed, options, self.now)
         else:
-            self.repeats.change_options(options)
+            self.retry_estimator.change_options(options)
 
-    def _check_for_storm(self, estimator: Repeats) -> bool:
-        status = estimator.tide(self.now)
+    def _check_for_storm(self, estimator: RetryEstimator) -> bool:
+        status = estimator.update_storm_status(self.now)
         self._log_storm(status)
         return status.storm
 
     def _log_storm(self, status: StormStatus | None) -> None:
-        for line in self.storm_log.lines(status, self.board.value, self.now):
+        for line in self.storm_log.lines(status, self.published.published_value, self.now):
             logger.info("{}", line)
 
     # Shared results: of reads of the same subject, and of retries of deduplicated exchanges
--- a/myrtlecrank/core/exchange_entry.py
+++ b/myrtlecrank/core/exchange_entry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from myrtlecrank.core.messages import Deliver, Forgo, Ticket
+from myrtlecrank.core.messages import DeliverCallResult, ExchangeRequest, SkipCall
 from myrtlecrank.policy import interface
 from myrtlecrank.policy.interface import Outcome
 
@@ -36,7 +36,9 @@
         "waiters",
     )
 
-    def __init__(self, request: Ticket, exchange: interface.Exchange, original: ExchangeEntry | None) -> None:
+    def __init__(
+        self, request: ExchangeRequest, exchange: interface.Exchange, original: ExchangeEntry | None
+    ) -> None:
         self.request = request
         self.exchange = exchange
         self.original = (
@@ -56,8 +58,9 @@
         self.confirmed = (
             False  # the agent ran it, so no conflicting request can be the one that the agent knows
         )
-        self.conflicting_requests: list[Ticket] = []  # others with the same identifier or key
+        self.conflicting_requests: list[ExchangeRequest] = []  # others with the same identifier or key
         self.call_body = b""  # the request of the dependency call at which the execution waits
         self.call_started_at: float | None = None  # while that call is outstanding
-        self.resume_command: Deliver | Forgo | None = None  # how the call ended, until the agent reports more
+        # How the call ended, until the agent reports more.
+        self.resume_command: DeliverCallResult | SkipCall | None = None
         self.resume_number = 0
--- a/myrtlecrank/core/messages.py
+++ b/myrtlecrank/core/messages.py
@@ -7,9 +7,9 @@
 from enum import Enum
 from typing import Any
 
-from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.connection_errors import CloseReason
 from myrtlecrank.policy.interface import Gauges, Outcome
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 
 
 class Verdict(Enum):
@@ -21,90 +21,91 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class ExchangeRequest:
     """One exchange as the edge hands it in. Compared by identity."""
 
-    ident: str  # the exchange's identifier
+    exchange_id: str  # the exchange's identifier
     group: int  # index of its endpoint group
     tenant: int  # index of its tenant
-    reached: float  # when it came to the machine
-    wait: float | None  # how long its caller waits from then on; None: unknown
+    arrived_at: float  # when it came to the machine
+    caller_timeout: float | None  # how long its caller waits from then on; None: unknown
     kb: float  # memory it needs
     rank: float  # as stated by its caller
     caller: int  # number of its caller
-    about: str  # the subject of a read, or the key of a deduplicated exchange
+    result_key: str  # the subject of a read, or the key of a deduplicated exchange
     body: bytes
-    answer: Callable[[Answer], None]  # takes the final answer; must not block
-    place: Any = None  # where the answer goes; used by the edge alone
+    send_answer: Callable[[Answer], None]  # takes the final answer; must not block
+    reply_context: Any = None  # where the answer goes; used by the edge alone
 
 
 @dataclass(slots=True)
 class Answer:
     """The final answer to an exchange."""
 
-    ticket: Ticket
+    request: ExchangeRequest
     verdict: Verdict
     result: bytes = b""
-    wait: float = 0.0  # how long the caller is advised to stay away
-    last: bool = False  # the caller must not try another backend
+    retry_after: float = 0.0  # how long the caller is advised to stay away
+    no_other_backend: bool = False  # the caller must not try another backend
 
 
 # Events: to the actor of the controller
 
 
 @dataclass(slots=True)
-class Arrived:
+class ExchangeArrived:
     """An exchange arrived from a caller."""
 
-    ticket: Ticket
+    request: ExchangeRequest
 
 
 @dataclass(slots=True)
-class CallersLeft:
+class ExchangesAbandoned:
     """The callers of these exchanges have given up or disconnected: they can no longer be answered."""
 
-    tickets: list[Ticket]
+    requests: list[ExchangeRequest]
 
 
 @dataclass(slots=True)
-class Greeted:
-    """The agent is connected, handshake done. Its machine started `up` ms ago, with warm or cold caches."""
+class AgentConnected:
+    """The agent is connected, handshake done. Its machine started `uptime` ms ago, with warm or cold
+    caches."""
 
     cold: bool
-    up: float
-    anew: bool = False  # restarted since the previous connection: its executions are lost
+    uptime: float
+    restarted: bool = False  # restarted since the previous connection: its executions are lost
 
 
 @dataclass(slots=True)
-class Parted:
+class AgentDisconnected:
     """The agent is disconnected."""
 
-    end: End
+    reason: CloseReason
 
 
 @dataclass(slots=True)
 class RunEnded:
     """An execution has ended."""
 
-    ident: str
+    exchange_id: str
     outcome: Outcome
-    took: float  # duration
+    duration: float
     result: bytes
     refused: bool = False  # the agent does not know the exchange
 
 
 @dataclass(slots=True)
-class Unsent:
+class StartsNotSent:
     """The start commands of these exchanges found no connection: no part of them was sent."""
 
-    idents: list[str]
+    exchange_ids: list[str]
 
 
 @dataclass(slots=True)
-class AtCall:
+class CallRequested:
     """An execution waits for a call to the dependency, whose request is `body`."""
 
-    ident: str
+    exchange_id: str
     body: bytes
 
 
@@ -112,13 +113,13 @@
 class CallEnded:
     """A call to the dependency has ended."""
 
-    ident: str
+    exchange_id: str
     outcome: Outcome
     result: bytes
 
 
 @dataclass(slots=True)
-class Sampled:
+class GaugesSampled:
     """The gauges that the sample command with this tag asked for."""
 
     tag: str
@@ -126,91 +127,92 @@
 
 
 @dataclass(slots=True)
-class Leave:
-    """A drain was requested (SIGTERM) at the time `at`, possibly long before this message is handled."""
+class DrainRequested:
+    """A drain was requested (SIGTERM) at the time `requested_at`, possibly long before this message is
+    handled."""
 
-    at: float
+    requested_at: float
 
 
 @dataclass(slots=True)
-class Adopt:
+class RetryOptionsChanged:
     """The operators changed the options of the retry estimator; None turns it off."""
 
-    repeats: Bounds | None
+    options: RetryOptions | None
 
 
 # Commands to the agent
 
 
 @dataclass(slots=True)
-class Launch:
+class StartRun:
     """Start the execution of an exchange."""
 
-    ident: str
+    exchange_id: str
     group: str
     body: bytes
 
 
 @dataclass(slots=True)
-class Freeze:
+class CancelRun:
     """Cancel an execution."""
 
-    ident: str
+    exchange_id: str
 
 
 @dataclass(slots=True)
-class Sample:
+class SampleGauges:
     """Measure the gauges and return them with this tag."""
 
     tag: str
 
 
 @dataclass(slots=True)
-class Deliver:
+class DeliverCallResult:
     """Continue the execution with the result of its dependency call."""
 
-    ident: str
+    exchange_id: str
     result: bytes
 
 
 @dataclass(slots=True)
-class Forgo:
+class SkipCall:
     """Continue the execution without the result of its dependency call."""
 
-    ident: str
+    exchange_id: str
 
 
 # Commands to the dependency connection
 
 
 @dataclass(slots=True)
-class Call:
+class StartCall:
     """Start a call for an execution."""
 
-    ident: str
+    exchange_id: str
     timeout: float
     body: bytes
 
 
 @dataclass(slots=True)
-class Abandon:
+class CancelCall:
     """Cancel a call. Its end is not reported."""
 
-    ident: str
+    exchange_id: str
 
 
-Event = (
-    Arrived
-    | CallersLeft
-    | Greeted
-    | Parted
-    | Unsent
+CoreEvent = (
+    ExchangeArrived
+    | ExchangesAbandoned
+    | AgentConnected
+    | AgentDisconnected
+    | StartsNotSent
     | RunEnded
-    | AtCall
+    | CallRequested
     | CallEnded
-    | Sampled
-    | Leave
-    | Adopt
+    | GaugesSampled
+    | DrainRequested
+    | RetryOptionsChanged
 )
-Command = Launch | Freeze | Sample | Deliver | Forgo
-Below = Call | Abandon
+AgentCommand = StartRun | CancelRun | SampleGauges | DeliverCallResult | SkipCall
+DependencyCommand = StartCall | CancelCall
--- a/myrtlecrank/dependency/client.py
+++ b/myrtlecrank/dependency/client.py
@@ -8,9 +8,9 @@
 from gevent import socket
 from loguru import logger
 
-from myrtlecrank.core.connection_errors import OUTCOMES, End, of_error
+from myrtlecrank.core.connection_errors import OUTCOME_BY_REASON, CloseReason, reason_of_error
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.core.messages import Abandon, Below, Call, CallEnded, Event
+from myrtlecrank.core.messages import CallEnded, CancelCall, CoreEvent, DependencyCommand, StartCall
 from myrtlecrank.dependency import codec
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
@@ -38,28 +38,28 @@
         self.overdue_ticks = 0  # since a call is overdue
         self.silent_ticks = 0  # since a reply was received
         self.is_writing = False
-        self.drop_reason: End | None = None
+        self.drop_reason: CloseReason | None = None
 
-    def drop(self, end: End) -> None:
+    def drop(self, reason: CloseReason) -> None:
         """Closes the socket; the reading greenlet wakes and reports the pending calls as lost."""
-        self.drop_reason = self.drop_reason or end
+        self.drop_reason = self.drop_reason or reason
         self.sock.close()
 
 
-class BelowLink:
+class DependencyClient:
     """Writes the commands from its mailbox; many calls share one connection.
 
     `silence_limit_ms` is the time without a reply that is normal, however quick recent calls were.
     """
 
     def __init__(
-        self, address: tuple[str, int], post_event: Callable[[Event], None], silence_limit_ms: float
+        self, address: tuple[str, int], post_event: Callable[[CoreEvent], None], silence_limit_ms: float
     ) -> None:
         self.address = address
         self.post_event = post_event
         self.silence_limit_ms = silence_limit_ms
         self.longest_call_ms = 0.0  # of recent calls
-        self.mailbox: Mailbox[Below] = Mailbox(MAILBOX_MESSAGES)
+        self.mailbox: Mailbox[DependencyCommand] = Mailbox(MAILBOX_MESSAGES)
         self.connection: DependencyConnection | None = None  # for new calls
         # Includes connections to earlier addresses while calls are pending on them.
         self.connections: dict[DependencyConnection, None] = {}
@@ -74,35 +74,36 @@
             if connection is not None and connection.drop_reason is not None:
                 # Its reader has not woken yet: calls written to it now would seem to have been sent.
                 connection = None
-            if connection is None and any(isinstance(command, Call) for command in commands):
-                longest_ms = max(command.timeout for command in commands if isinstance(command, Call))
+            if connection is None and any(isinstance(command, StartCall) for command in commands):
+                longest_ms = max(command.timeout for command in commands if isinstance(command, StartCall))
                 connection = self._connect(longest_ms)
             self._distribute(connection, commands)
 
-    def _distribute(self, connection: DependencyConnection | None, commands: list[Below]) -> None:
+    def _distribute(self, connection: DependencyConnection | None, commands: list[DependencyCommand]) -> None:
         """Writes calls to `connection`, and abandons a call on the connection on which it is pending."""
         buffers: dict[DependencyConnection, RingBuffer] = {}
         for command in commands:
             # A call is pending before its first byte is written: from then on nothing proves that it did not
             # arrive.
-            if isinstance(command, Abandon):
+            if isinstance(command, CancelCall):
                 target = next(
-                    (other for other in self.connections if command.ident in other.pending_calls), None
+                    (other for other in self.connections if command.exchange_id in other.pending_calls), None
                 )
                 if target is None:
                     continue
-                del target.pending_calls[command.ident]
+                del target.pending_calls[command.exchange_id]
             elif connection is None:
-                self.post_event(CallEnded(command.ident, Outcome.UNREACHED, b""))
+                self.post_event(CallEnded(command.exchange_id, Outcome.UNREACHED, b""))
                 continue
             else:
                 target = connection
-                connection.pending_calls[command.ident] = self.now, self.now + command.timeout
+                connection.pending_calls[command.exchange_id] = self.now, self.now + command.timeout
             buffers.setdefault(target, RingBuffer()).append(codec.encode_command(command))
         for target, buffer in buffers.items():
             self._write(target, buffer)
             if target is not self.connection and not target.pending_calls:
-                target.drop(End.LEFT)  # of an earlier address, and no reply is awaited on it any more
+                # Of an earlier address, and no reply is awaited on it any more.
+                target.drop(CloseReason.CLOSED_LOCALLY)
 
     def _write(self, connection: DependencyConnection, buffer: RingBuffer) -> None:
         connection.is_writing = True
@@ -110,7 +111,7 @@
             while buffer:
                 buffer.discard(connection.sock.send(buffer.readable_view()))
         except OSError as error:
-            connection.drop(of_error(error))
+            connection.drop(reason_of_error(error))
         connection.is_writing = False
 
     def _connect(self, max_wait_ms: float) -> DependencyConnection | None:
@@ -125,9 +126,9 @@
             except OSError as error:
                 sock.close()
                 if not self.is_unreachable:
-                    logger.warning("the layer below: {}", of_error(error).value)
+                    logger.warning("the layer below: {}", reason_of_error(error).value)
                 self.is_unreachable = True
-                timed_out = of_error(error) is End.SILENT
+                timed_out = reason_of_error(error) is CloseReason.UNRESPONSIVE
                 waited_ms += CONNECT_TIMEOUT_S * 1000.0 if timed_out else RECONNECT_PAUSE_S * 1000.0
                 gevent.sleep(RECONNECT_PAUSE_S)
                 continue
@@ -141,16 +142,16 @@
             return connection
         return None
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Sends new calls to the new address; replies to pending calls may still come from the old one."""
         if address == self.address:
             return
         self.address = address
         connection, self.connection = self.connection, None
         if connection is not None and not connection.pending_calls:
-            connection.drop(End.LEFT)
+            connection.drop(CloseReason.CLOSED_LOCALLY)
 
-    def look(self, now: float) -> None:
+    def check_silence(self, now: float) -> None:
         """Drops connections on which a call is not answered or that hang; called on each sampling tick.
 
         Most calls are abandoned when their exchange is due, which is no later than their own time limit, so a
@@ -169,30 +170,34 @@
             silence_limit_ms = max(self.silence_limit_ms, MAX_SILENT_CALLS * self.longest_call_ms)
             is_silent = connection.silent_ticks * TICK_MS > silence_limit_ms
             if is_silent or connection.overdue_ticks > MAX_OVERDUE_TICKS:
-                connection.drop(End.SILENT)
+                connection.drop(CloseReason.UNRESPONSIVE)
 
     def _read(self, connection: DependencyConnection) -> None:
-        end = self._read_replies(connection)
-        end = connection.drop_reason or end
+        reason = self._read_replies(connection)
+        reason = connection.drop_reason or reason
         connection.sock.close()
         self.connections.pop(connection, None)
         if self.connection is connection:
             self.connection = None
         calls = connection.pending_calls
         if calls:
-            logger.warning("the link below {} with {} calls out", end.value, len(calls))
-        outcome = Outcome.RESET if end in (End.UNREACHED, End.LEFT) else OUTCOMES[end]
+            logger.warning("the link below {} with {} calls out", reason.value, len(calls))
+        outcome = (
+            Outcome.RESET
+            if reason in (CloseReason.CONNECT_FAILED, CloseReason.CLOSED_LOCALLY)
+            else OUTCOME_BY_REASON[reason]
+        )
         for exchange_id in calls:
             self.post_event(CallEnded(exchange_id, outcome, b""))
         calls.clear()
 
-    def _read_replies(self, connection: DependencyConnection) -> End:
+    def _read_replies(self, connection: DependencyConnection) -> CloseReason:
         buffer = RingBuffer(READ_BUFFER_BYTES)
         try:
             while True:
                 count = connection.sock.recv_into(buffer.writable_view())
                 if count == 0:
-                    return End.CLOSED
+                    return CloseReason.CLOSED_BY_PEER
                 buffer.mark_written(count)
                 connection.silent_ticks = 0
                 for reply in codec.decode_replies(buffer):
@@ -202,9 +207,9 @@
                         self.longest_call_ms = max(call_ms, LONGEST_CALL_DECAY * self.longest_call_ms)
                         self.post_event(CallEnded(reply.exchange_id, reply.outcome, reply.result))
                 if connection is not self.connection and not connection.pending_calls:
-                    return End.LEFT
+                    return CloseReason.CLOSED_LOCALLY
         except OSError as error:
-            return of_error(error)
+            return reason_of_error(error)
         except codec.ProtocolError as error:
             logger.error("the layer below sent {}", error)
-            return End.BROKEN
+            return CloseReason.PROTOCOL_ERROR
--- a/myrtlecrank/dependency/codec.py
+++ b/myrtlecrank/dependency/codec.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from myrtlecrank.core.messages import Abandon, Below, Call
+from myrtlecrank.core.messages import CancelCall, DependencyCommand, StartCall
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Outcome
 
@@ -23,7 +23,7 @@
 LINE_END_BYTES = 2
 OUTCOMES = {
     "DONE": Outcome.OK,
-    "WAIT": Outcome.FULL,  # rejected before it began
+    "WAIT": Outcome.REJECTED,  # rejected before it began
     "ERROR": Outcome.ERROR,
     "PAST": Outcome.TIMEOUT,
     # The dependency knows no such call. It may have known it before, so this proves nothing.
@@ -44,13 +44,13 @@
     result: bytes
 
 
-def encode_command(command: Below) -> bytes:
+def encode_command(command: DependencyCommand) -> bytes:
     """Returns a call, with its time limit in whole ms, or the command that abandons one."""
     match command:
-        case Call(exchange_id, timeout_ms, body):
+        case StartCall(exchange_id, timeout_ms, body):
             limit_ms = max(1, int(timeout_ms))
             return b"OP %b %d %d\r\n%b\r\n" % (exchange_id.encode(), limit_ms, len(body), body)
-        case Abandon(exchange_id):
+        case CancelCall(exchange_id):
             return b"UNOP %b\r\n" % exchange_id.encode()
 
 
--- a/myrtlecrank/edge/accept_rate.py
+++ b/myrtlecrank/edge/accept_rate.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from myrtlecrank.operators.sections import figure
+from myrtlecrank.operators.sections import scalar_option
 
 SLOWDOWN_FACTOR = 0.7  # after a sampling tick that was late
 SPEEDUP_FACTOR = 1.1  # after one that was not
@@ -19,17 +19,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepting:
+class AcceptRateOptions:
     """Options of the section [accepting] of the operators' file."""
 
-    on: bool = figure(True, what="false: connections are accepted as they come")
-    per_second: float = figure(2000.0, 10.0, 1_000_000.0, "connections accepted in a second, in the mean")
-    cold_per_second: float = figure(500.0, 10.0, 1_000_000.0, "the same while the machine is cold")
-    burst: int = figure(64, 1, 100_000, "connections accepted at once after a quiet time")
-    late_ms: float = figure(50.0, 1.0, 10_000.0, "how late a beat may be before the pace falls")
+    on: bool = scalar_option(True, what="false: connections are accepted as they come")
+    per_second: float = scalar_option(
+        2000.0, 10.0, 1_000_000.0, "connections accepted in a second, in the mean"
+    )
+    cold_per_second: float = scalar_option(500.0, 10.0, 1_000_000.0, "the same while the machine is cold")
+    burst: int = scalar_option(64, 1, 100_000, "connections accepted at once after a quiet time")
+    late_ms: float = scalar_option(50.0, 1.0, 10_000.0, "how late a beat may be before the pace falls")
 
 
-def contradictions(options: Accepting) -> list[str]:
+def contradictions(options: AcceptRateOptions) -> list[str]:
     """Returns a message for each pair of options that are legal alone but make no sense together."""
     if options.cold_per_second > options.per_second:
         return [
@@ -42,7 +44,7 @@
 class AcceptRateLimiter:
     """A token bucket whose rate follows the machine's warmth and the lateness of the event loop."""
 
-    def __init__(self, options: Accepting, now: float) -> None:
+    def __init__(self, options: AcceptRateOptions, now: float) -> None:
         self.options = options
         self.tokens = float(options.burst)
         self.rate_share = 1.0  # of the configured rate, lowered while the loop is late
--- a/myrtlecrank/edge/caller.py
+++ b/myrtlecrank/edge/caller.py
@@ -1,4 +1,4 @@
-"""The actor of one caller: turns requests into tickets for the core and the core's answers into frames."""
+"""The actor of one caller: turns frames into requests for the core and the core's answers into frames."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from myrtlecrank.core.actor import unix_ms
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.core.messages import Answer, Arrived, Ticket, Verdict
-from myrtlecrank.core.published_state import Board
+from myrtlecrank.core.messages import Answer, ExchangeArrived, ExchangeRequest, Verdict
+from myrtlecrank.core.published_state import PublishedState
 from myrtlecrank.edge.connection import Connection
 from myrtlecrank.frames import codec
 
@@ -47,8 +47,8 @@
         groups: dict[str, GroupEntry],
         tenants: dict[str, int],
         sends_wait_time: bool,
-        published_state: Board,
-        submit: Callable[[Arrived], None],
+        published_state: PublishedState,
+        submit: Callable[[ExchangeArrived], None],
     ) -> None:
         self.groups = groups
         self.tenants = tenants
@@ -73,7 +73,7 @@
         touched: dict[Connection, None] = {}
         for answer in answers:
             if answer is not None:
-                connection, stream = answer.ticket.place
+                connection, stream = answer.request.reply_context
                 connection.queue_answer(stream, self._encode(stream, answer))
                 touched[connection] = None
         for connection in touched:
@@ -81,8 +81,10 @@
         return None not in answers
 
     def _encode(self, stream: int, answer: Answer) -> bytes:
-        code, value = ANSWER_CODES[answer.verdict], self.published_state.value
-        return codec.encode_answer(stream, code, value, answer.wait, answer.last, answer.result)
+        code, value = ANSWER_CODES[answer.verdict], self.published_state.published_value
+        return codec.encode_answer(
+            stream, code, value, answer.retry_after, answer.no_other_backend, answer.result
+        )
 
     def handle_request(self, connection: Connection, request: codec.Request) -> None:
         """Submits a request that was read just now, at `connection.last_used_ms`, or rejects it."""
@@ -107,18 +109,18 @@
         if age_ms < -MAX_CLOCK_AHEAD_MS or (request.wait_ms or 0.0) > MAX_WAIT_TIMEOUTS * timeout_ms:
             connection.reject(request.stream, "an arrival time in the future or too long a waiting time")
             return
-        ticket = connection.open_streams[request.stream] = Ticket(
-            ident=request.exchange_id,
+        exchange_request = connection.open_streams[request.stream] = ExchangeRequest(
+            exchange_id=request.exchange_id,
             group=group,
             tenant=tenant,
-            reached=connection.last_used_ms - age_ms,
-            wait=request.wait_ms if self.sends_wait_time else None,
+            arrived_at=connection.last_used_ms - age_ms,
+            caller_timeout=request.wait_ms if self.sends_wait_time else None,
             kb=request.memory_kb,
             rank=request.rank,
             caller=request.caller,
-            about=(request.key if is_deduplicated else request.subject) or "",
+            result_key=(request.key if is_deduplicated else request.subject) or "",
             body=request.body,
-            answer=self.mailbox.post,
-            place=(connection, request.stream),
+            send_answer=self.mailbox.post,
+            reply_context=(connection, request.stream),
         )
-        self.submit(Arrived(ticket))
+        self.submit(ExchangeArrived(exchange_request))
--- a/myrtlecrank/edge/connection.py
+++ b/myrtlecrank/edge/connection.py
@@ -10,9 +10,9 @@
 from gevent.event import Event as Flag
 from loguru import logger
 
-from myrtlecrank.core.connection_errors import End, of_error
-from myrtlecrank.core.messages import Ticket
-from myrtlecrank.core.published_state import Board
+from myrtlecrank.core.connection_errors import CloseReason, reason_of_error
+from myrtlecrank.core.messages import ExchangeRequest
+from myrtlecrank.core.published_state import PublishedState
 from myrtlecrank.frames import codec
 from myrtlecrank.frames.ring_buffer import RingBuffer
 
@@ -40,7 +40,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        published_state: Board,
+        published_state: PublishedState,
         handle_frame: FrameHandler,
         allows_abandon: bool = False,
     ) -> None:
@@ -51,17 +51,17 @@
         self.incoming = RingBuffer(READ_BUFFER_BYTES)
         self.outgoing = RingBuffer()
         self.decoder = codec.Decoder(self.incoming, allows_abandon)
-        self.open_streams: dict[int, Ticket | None] = {}
+        self.open_streams: dict[int, ExchangeRequest | None] = {}
         self.caller: int | None = None
         self.streams_used_up_to = 0
         self.streams_used_beyond = set[int]()
         self.last_used_ms = 0.0
         self.go_away_sent_at_ms: float | None = None
-        self.end: End | None = None
+        self.close_reason: CloseReason | None = None
         self.is_reading = False
         self.is_flushing = False
         # Why nothing more is read. Open streams are still answered.
-        self.read_end: End | None = None
+        self.read_close_reason: CloseReason | None = None
         self.bytes_sent = 0
         self.bytes_sent_at_last_check = 0
         self.stalled_ms = 0.0
@@ -70,35 +70,35 @@
         self.incomplete_ms = 0.0
         self.write_progress = Flag()
 
-    def run(self) -> End:
+    def run(self) -> CloseReason:
         """Reads until the connection ends or sends nothing more, then answers what was read by then."""
         try:
             self._read()
         except codec.ProtocolError as error:
             logger.warning("a connection ends, as it brought {}", error)
-            self.read_end = End.BROKEN
-            self.send(codec.encode_connection_error(self.published_state.value))
+            self.read_close_reason = CloseReason.PROTOCOL_ERROR
+            self.send(codec.encode_connection_error(self.published_state.published_value))
         except OSError as error:
-            self._set_end(of_error(error))
+            self._set_close_reason(reason_of_error(error))
         self.is_reading = False
-        if self.read_end is not None and self.end is None:
-            self._finish_open_streams(self.read_end)
-        return self.end or End.LEFT
+        if self.read_close_reason is not None and self.close_reason is None:
+            self._finish_open_streams(self.read_close_reason)
+        return self.close_reason or CloseReason.CLOSED_LOCALLY
 
     def _read(self) -> None:
         reads = 0
-        while self.end is None:
+        while self.close_reason is None:
             self.is_reading = True
             count = self.sock.recv_into(self.incoming.writable_view())
             self.is_reading = False
             if count == 0:
-                self.read_end = End.CLOSED
+                self.read_close_reason = CloseReason.CLOSED_BY_PEER
                 return
             self.incoming.mark_written(count)
             for frame in self.decoder.frames():
                 self._dispatch(frame)
             self.flush()
-            while len(self.outgoing) > MAX_UNSENT_BYTES and self.end is None:
+            while len(self.outgoing) > MAX_UNSENT_BYTES and self.close_reason is None:
                 self.write_progress.clear()
                 self.write_progress.wait()
             reads += 1
@@ -106,25 +106,25 @@
                 # A socket that always has data never waits: one fast sender would starve all others.
                 gevent.sleep(0)
 
-    def _finish_open_streams(self, read_end: End) -> None:
+    def _finish_open_streams(self, read_end: CloseReason) -> None:
         """Waits until the open streams are answered, then ends the connection.
 
         A caller that shut down its sending side, or that sent bytes which are not a frame, may still listen
         for the answers to earlier exchanges. Only writing shows whether one that shut its side is gone
         altogether; a GO_AWAY frame tells nothing new to one that is still there.
         """
-        if read_end is End.CLOSED and self.open_streams:
+        if read_end is CloseReason.CLOSED_BY_PEER and self.open_streams:
             self.send(codec.encode_go_away())
         pause_s = FIRST_PEER_CHECK_S
-        while (self.open_streams or self.outgoing) and self.end is None:
+        while (self.open_streams or self.outgoing) and self.close_reason is None:
             self.write_progress.clear()
-            self.write_progress.wait(pause_s if read_end is End.CLOSED else None)
-            if read_end is End.CLOSED:
+            self.write_progress.wait(pause_s if read_end is CloseReason.CLOSED_BY_PEER else None)
+            if read_end is CloseReason.CLOSED_BY_PEER:
                 self._check_peer()
                 pause_s = min(2.0 * pause_s, MAX_PEER_CHECK_S)
-        if read_end is End.BROKEN and self.end is None:
+        if read_end is CloseReason.PROTOCOL_ERROR and self.close_reason is None:
             self._linger()
-        self._set_end(read_end)
+        self._set_close_reason(read_end)
 
     def _linger(self) -> None:
         """Reads what still arrives and drops it.
@@ -181,7 +181,7 @@
             return
         if isinstance(frame, codec.HealthCheck):
             state = self.published_state
-            self.queue(codec.encode_health_status(frame.stream, state.well, state.value))
+            self.queue(codec.encode_health_status(frame.stream, state.healthy, state.published_value))
             return
         if not self._claim_stream(frame.stream):
             raise codec.ProtocolError(f"the stream {frame.stream} twice")
@@ -197,7 +197,7 @@
         """Terminates an exchange that cannot be taken in; the rest of the connection goes on."""
         logger.warning("an exchange is terminated: it brought {}", reason)
         self.open_streams.pop(stream, None)
-        self.queue(codec.encode_answer(stream, codec.TERMINATED, self.published_state.value))
+        self.queue(codec.encode_answer(stream, codec.TERMINATED, self.published_state.published_value))
 
     def _claim_stream(self, stream: int) -> bool:
         """Marks a stream number as used. Returns False if it was used before."""
@@ -216,9 +216,9 @@
 
     def queue_answer(self, stream: int, frame: bytes) -> None:
         """Queues the answer of an open stream; a flush() must follow."""
-        if self.end is None and self.open_streams.pop(stream, None) is not None:
+        if self.close_reason is None and self.open_streams.pop(stream, None) is not None:
             self.queue(frame)
-            if self.read_end is not None:
+            if self.read_close_reason is not None:
                 self.write_progress.set()
 
     def send_go_away(self, now: float) -> None:
@@ -227,7 +227,7 @@
         A connection on which nothing more is read sends nothing new anyway. Writing to it may fail, which
         would end it and destroy the answers that are still on their way.
         """
-        if self.go_away_sent_at_ms is None and self.end is None and self.read_end is None:
+        if self.go_away_sent_at_ms is None and self.close_reason is None and self.read_close_reason is None:
             self.go_away_sent_at_ms = now
             self.send(codec.encode_go_away())
 
@@ -238,12 +238,12 @@
 
     def queue(self, data: bytes) -> None:
         """Queues `data` unless the connection has ended; a flush() must follow."""
-        if self.end is None:
+        if self.close_reason is None:
             self.outgoing.append(data)
 
     def flush(self) -> None:
         """Writes what the socket takes at once; a greenlet writes the rest to a slow reader."""
-        if self.is_flushing or not self.outgoing or self.end is not None:
+        if self.is_flushing or not self.outgoing or self.close_reason is not None:
             return
         try:
             self._write(0.0)
@@ -251,12 +251,12 @@
             self.is_flushing = True
             gevent.spawn(self._flush_rest)
         except OSError as error:
-            self.close(of_error(error))
-        if self.read_end is not None:
+            self.close(reason_of_error(error))
+        if self.read_close_reason is not None:
             self.write_progress.set()
 
     def _write(self, timeout: float | None) -> None:
-        while self.outgoing and self.end is None:
+        while self.outgoing and self.close_reason is None:
             count = self._send(self.outgoing.readable_view(), 0, timeout)
             self.outgoing.discard(count)
             self.bytes_sent += count
@@ -265,7 +265,7 @@
         try:
             self._write(None)
         except OSError as error:
-            self.close(of_error(error))
+            self.close(reason_of_error(error))
         self.is_flushing = False
         self.write_progress.set()
 
@@ -281,7 +281,7 @@
         else:
             self.stalled_ms += elapsed_ms
             if self.stalled_ms > STALLED_LIMIT_MS:
-                self.close(End.STUCK)
+                self.close(CloseReason.NOT_READING)
         has_new_frame = self.frames_received != self.frames_at_last_check
         if has_new_frame or (self.frames_received and not self.decoder.is_mid_frame()):
             self.frames_at_last_check = self.frames_received
@@ -289,7 +289,7 @@
         elif self.is_reading:
             self.incomplete_ms += elapsed_ms
             if self.incomplete_ms > INCOMPLETE_LIMIT_MS and not (self.open_streams or self.outgoing):
-                self.close(End.HALF)
+                self.close(CloseReason.INCOMPLETE_FRAME)
 
     def _check_peer(self) -> None:
         """Closes the connection if the caller has reset it.
@@ -298,15 +298,15 @@
         """
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            self.close(of_error(OSError(error, "")))
+            self.close(reason_of_error(OSError(error, "")))
 
-    def close(self, end: End) -> None:
+    def close(self, reason: CloseReason) -> None:
         """Closes the socket; the reading greenlet wakes and reports the end."""
-        self._set_end(end)
+        self._set_close_reason(reason)
         self.sock.close()
         self.write_progress.set()
 
-    def _set_end(self, end: End) -> None:
+    def _set_close_reason(self, reason: CloseReason) -> None:
         """Records why the connection ended; the first reason stays."""
-        if self.end is None:
-            self.end = end
+        if self.close_reason is None:
+            self.close_reason = reason
--- a/myrtlecrank/edge/server.py
+++ b/myrtlecrank/edge/server.py
@@ -11,13 +11,13 @@
 from loguru import logger
 
 from myrtlecrank.core.actor import Core, now_ms
-from myrtlecrank.core.connection_errors import End
-from myrtlecrank.core.messages import CallersLeft, Ticket
-from myrtlecrank.edge.accept_rate import Accepting, AcceptRateLimiter
+from myrtlecrank.core.connection_errors import CloseReason
+from myrtlecrank.core.messages import ExchangeRequest, ExchangesAbandoned
+from myrtlecrank.edge.accept_rate import AcceptRateLimiter, AcceptRateOptions
 from myrtlecrank.edge.caller import Caller, GroupEntry
 from myrtlecrank.edge.connection import Connection
 from myrtlecrank.frames import codec
-from myrtlecrank.policy.interface import Kind
+from myrtlecrank.policy.interface import EffectKind
 
 BACKLOG_CONNECTIONS = 512
 RESERVED_SOCKETS = 24  # for the agent, the membership list and the interpreter's files: some ten are used
@@ -28,7 +28,7 @@
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-class Front:
+class EdgeServer:
     """Accepts callers' connections, passes their requests to the core and closes what is idle or stuck.
 
     `sockets` is the limit on descriptors; `spawn` starts the actors of callers.
@@ -40,19 +40,19 @@
         sockets: int,
         core: Core,
         spawn: Callable[..., object] = gevent.spawn,
-        accept_rate: Accepting | None = None,
+        accept_rate: AcceptRateOptions | None = None,
     ) -> None:
         self.core = core
-        self.published_state = core.board
+        self.published_state = core.published
         self.spawn = spawn
         self.max_connections = max(1, sockets - RESERVED_SOCKETS)
-        facts = core.facts
+        settings = core.settings
         self.groups = {
-            group.name: GroupEntry(number, group.timeout, group.kind is Kind.DEDUPLICATED)
-            for number, group in enumerate(facts.groups)
+            group.name: GroupEntry(number, group.timeout, group.kind is EffectKind.DEDUPLICATED)
+            for number, group in enumerate(settings.groups)
         }
-        self.tenants = {tenant.name: index for index, tenant in enumerate(facts.tenants)}
-        self.allows_abandon = facts.tells_gone
+        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+        self.allows_abandon = settings.reports_abandonment
         self.callers: dict[int, Caller] = {}
         self.connections: dict[Connection, None] = {}  # least recently used first
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -64,11 +64,11 @@
         self.swept_at_ms = now_ms()
         self.accept_loop: gevent.greenlet.Greenlet[..., None] | None = None
         self.rate_limiter: AcceptRateLimiter | None = None
-        self.adopt(accept_rate)
-        core.on_beat.append(self.sweep)
-        core.on_shut.append(self.stop_accepting)
+        self.set_accept_rate(accept_rate)
+        core.on_tick.append(self.sweep)
+        core.on_stop_accepting.append(self.stop_accepting)
 
-    def adopt(self, accept_rate: Accepting | None) -> None:
+    def set_accept_rate(self, accept_rate: AcceptRateOptions | None) -> None:
         """Applies new options of the accept rate; with None connections are accepted as they come."""
         self.rate_limiter = None if accept_rate is None else AcceptRateLimiter(accept_rate, now_ms())
 
@@ -79,7 +79,7 @@
         self.accept_loop.get()
 
     def _accept(self) -> None:
-        while not self.published_state.shut:
+        while not self.published_state.stopped_accepting:
             try:
                 socket.wait_read(self.listener.fileno())
                 if len(self.connections) >= self.max_connections and not self.make_room():
@@ -93,7 +93,7 @@
                     continue
                 sock, _ = self.listener.accept()
             except OSError as error:
-                if self.published_state.shut or error.errno == errno.EBADF:
+                if self.published_state.stopped_accepting or error.errno == errno.EBADF:
                     return
                 if error.errno in OUT_OF_DESCRIPTORS:
                     logger.warning("no descriptor for a new connection")
@@ -110,13 +110,15 @@
         """
         closable = [connection for connection in self.connections if not connection.has_pending_answers()]
         # Of one on which reading has ended, the rest is only discarded: closing it loses nothing.
-        victim = next((connection for connection in closable if connection.read_end is not None), None)
+        victim = next(
+            (connection for connection in closable if connection.read_close_reason is not None), None
+        )
         victim = victim or next((connection for connection in closable if connection.has_no_input()), None)
         victim = victim or next(
             (connection for connection in closable if not connection.frames_received), None
         )
         if victim is not None:
-            victim.close(End.LEFT)
+            victim.close(CloseReason.CLOSED_LOCALLY)
             del self.connections[victim]
         return victim is not None
 
@@ -136,12 +138,12 @@
             connection.run()
         except Exception:
             logger.exception("a connection failed")
-        connection.close(End.BROKEN)
+        connection.close(CloseReason.PROTOCOL_ERROR)
         self.remove_connection(connection)
 
     def handle_frame(self, connection: Connection, frame: codec.Request | codec.Abandoned) -> None:
         """Passes a frame to the actor of its caller, which is started with the caller's first request."""
-        if connection.end is not None:
+        if connection.close_reason is not None:
             return
         if isinstance(frame, codec.Abandoned):
             self.abandon(connection, frame.stream)
@@ -156,7 +158,7 @@
                 caller = self.callers[frame.caller] = Caller(
                     self.groups,
                     self.tenants,
-                    self.core.facts.tells_left,
+                    self.core.settings.sends_remaining_time,
                     self.published_state,
                     self.core.mailbox.put,
                 )
@@ -170,11 +172,11 @@
         The exchange gets its final answer at once, as if that had crossed the caller's frame. If the answer
         has gone out already there is nothing to do.
         """
-        ticket = connection.open_streams.get(stream)
-        if ticket is not None:
-            answer = codec.encode_answer(stream, codec.TERMINATED, self.published_state.value)
+        request = connection.open_streams.get(stream)
+        if request is not None:
+            answer = codec.encode_answer(stream, codec.TERMINATED, self.published_state.published_value)
             connection.queue_answer(stream, answer)
-            self.core.mailbox.put(CallersLeft([ticket]))
+            self.core.mailbox.put(ExchangesAbandoned([request]))
 
     def remove_connection(self, connection: Connection) -> None:
         """Reports the open exchanges of an ended connection to the core.
@@ -182,13 +184,17 @@
         The actor of a caller ends with the caller's last connection.
         """
         self.connections.pop(connection, None)
-        unanswered: list[Ticket] = [
-            ticket for ticket in connection.open_streams.values() if ticket is not None
+        unanswered: list[ExchangeRequest] = [
+            request for request in connection.open_streams.values() if request is not None
         ]
         connection.open_streams.clear()
         if unanswered:
-            logger.info("a connection {} with {} open", (connection.end or End.LEFT).value, len(unanswered))
-            self.core.mailbox.put(CallersLeft(unanswered))
+            logger.info(
+                "a connection {} with {} open",
+                (connection.close_reason or CloseReason.CLOSED_LOCALLY).value,
+                len(unanswered),
+            )
+            self.core.mailbox.put(ExchangesAbandoned(unanswered))
         if connection.caller is not None:
             caller = self.callers[connection.caller]
             caller.connection_count -= 1
@@ -205,16 +211,16 @@
         for connection in list(self.connections):
             connection.check_timeouts(elapsed_ms)
             idle_ms = now - connection.last_used_ms
-            idle_limit_ms = self.published_state.idle
+            idle_limit_ms = self.published_state.idle_limit
             if idle_limit_ms <= 0 or idle_ms <= idle_limit_ms or connection.has_pending_answers():
                 continue
             if connection.go_away_sent_at_ms is None:
                 connection.send_go_away(now)
             elif now - connection.go_away_sent_at_ms > GO_AWAY_TIMEOUT_MS and connection.has_no_input():
-                connection.close(End.LEFT)
+                connection.close(CloseReason.CLOSED_LOCALLY)
 
     def _adjust_accept_rate(self, rate_limiter: AcceptRateLimiter) -> None:
-        rate_limiter.adjust(self.published_state.late)
+        rate_limiter.adjust(self.published_state.tick_delay)
         delayed_connections, rate_limiter.delayed_connections = rate_limiter.delayed_connections, 0
         if delayed_connections:
             logger.info(
@@ -222,11 +228,11 @@
                 round(rate_limiter.rate_per_second(self.published_state.warmth)),
             )
 
-    def emptied(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether no connection is left, nor any in the backlog that waits to be accepted."""
         return not (self.backlog_left or self.connections)
 
-    def last_words(self) -> None:
+    def flush_and_close(self) -> None:
         """Sends the last answers and closes all connections, just before the process ends.
 
         Unread bytes are dropped first: they would turn the close into a reset that destroys the answers. The
@@ -238,7 +244,7 @@
         for connection in list(self.connections):
             connection.flush()
             connection.discard_unread()
-            connection.close(End.LEFT)
+            connection.close(CloseReason.CLOSED_LOCALLY)
 
     def stop_accepting(self) -> None:
         """Closes the listener and asks for no new exchange on the open connections.
--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -15,21 +15,21 @@
 from loguru import logger
 
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.core.published_state import Board
+from myrtlecrank.core.published_state import PublishedState
 from myrtlecrank.fleet.member import FleetConfig, FleetMember
 from myrtlecrank.fleet.membership.messages import MemberUpdate, State
 from myrtlecrank.fleet.membership.swim import MembershipTiming
 from myrtlecrank.fleet.messages import Message, Query, ReplaceVoters, Report, Row, StepDown
 from myrtlecrank.fleet.monitor.messages import Gauges
-from myrtlecrank.fleet.options import Bounds, apply_reloadable, parse_address, unapplied_options
-from myrtlecrank.fleet.ownership.lease import Terms, member_of
+from myrtlecrank.fleet.options import FleetOptions, apply_reloadable, parse_address, unapplied_options
+from myrtlecrank.fleet.ownership.lease import LeaseTimings, member_of
 from myrtlecrank.fleet.peer_links import PeerLinks
-from myrtlecrank.fleet.register.calls import Letter as VoterMessage
-from myrtlecrank.fleet.register.calls import replies
+from myrtlecrank.fleet.register.calls import VoterMessage as VoterMessage
+from myrtlecrank.fleet.register.calls import answer_messages
 from myrtlecrank.fleet.register.caspaxos import Voter
-from myrtlecrank.fleet.register.disk import Disk, TornError, encode
-from myrtlecrank.fleet.register.messages import Memory, Seated
-from myrtlecrank.fleet.register.reconfiguration import Reseated
+from myrtlecrank.fleet.register.disk import UnusableFileError, VoterFile, encode
+from myrtlecrank.fleet.register.messages import Memory, VoterSetNotice
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult
 from myrtlecrank.fleet.step_client import StepClient
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 
@@ -49,30 +49,30 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6
 
 
-def fleet_config(bounds: Bounds) -> FleetConfig:
+def fleet_config(options: FleetOptions) -> FleetConfig:
     """The member's configuration from the operators' options."""
     timing = MembershipTiming(
-        bounds.probe_ms,
-        bounds.probe_reply_ms,
-        bounds.helpers,
-        bounds.suspect_ms,
+        options.probe_ms,
+        options.probe_reply_ms,
+        options.helpers,
+        options.suspect_ms,
         FORGET_MEMBER_MS,
-        EXCHANGE_PROBE_INTERVALS * bounds.probe_ms,
+        EXCHANGE_PROBE_INTERVALS * options.probe_ms,
     )
     schedules = tuple(
         DutySchedule(name, duty.every_ms, duty.deadline_ms, duty.back_off_ms, duty.share)
-        for name, duty in bounds.duties.items()
+        for name, duty in options.duties.items()
     )
-    terms = Terms.of(bounds.lease_ms, bounds.drift, bounds.lease_ms / READS_PER_LEASE)
+    timings = LeaseTimings.derive(options.lease_ms, options.drift, options.lease_ms / READS_PER_LEASE)
     return FleetConfig(
-        voters=bounds.voters,
+        voters=options.voters,
         schedules=schedules,
-        lease_terms=terms,
+        lease_timings=timings,
         membership_timing=timing,
-        register_reply_ms=bounds.reply_ms,
-        rebalance_ms=bounds.even_ms,
-        view_interval_ms=bounds.watch_ms,
-        max_concurrent_steps=bounds.together,
+        register_reply_ms=options.reply_ms,
+        rebalance_ms=options.even_ms,
+        view_interval_ms=options.watch_ms,
+        max_concurrent_steps=options.together,
     )
 
 
@@ -114,23 +114,23 @@
     during a write are answered together after the next one."""
 
     def __init__(
-        self, bounds: Bounds, name: str, start_id: str, send: Callable[[str, Message], None]
+        self, options: FleetOptions, name: str, start_id: str, send: Callable[[str, Message], None]
     ) -> None:
         self.send = send
         self.mailbox: Mailbox[tuple[str, VoterMessage]] = Mailbox(MAILBOX_MESSAGES)
-        self.disk = Disk(bounds.folder, bounds.name, name)
+        self.disk = VoterFile(options.folder, options.name, name)
         memory = None
         try:
             memory = self.disk.load()
-            if memory is None and name in bounds.voters:
+            if memory is None and name in options.voters:
                 logger.warning(
                     "this voter has no memory: it abstains until all others have told it theirs "
                     "(a new fleet is begun by `myrtlecrank fleet found`)"
                 )
-        except TornError as error:
+        except UnusableFileError as error:
             logger.error("this voter's memory {}: it abstains until all others have told it theirs", error)
         self.voter = Voter(
-            name, bounds.voters, memory, self._persist, bounds.name, bounds.trust_disk, start_id
+            name, options.voters, memory, self._persist, options.name, options.trust_disk, start_id
         )
         self.is_disk_failing = False
 
@@ -156,7 +156,7 @@
         own."""
         rejoin_due = 0.0
         while True:
-            rejoin = self.voter.rejoin()
+            rejoin = self.voter.rejoin_request()
             if rejoin is not None and monotonic_ms() >= rejoin_due:
                 rejoin_due = monotonic_ms() + REJOIN_INTERVAL_MS
                 for other in self.voter.others:
@@ -166,41 +166,43 @@
 
     def _answer(self, messages: list[tuple[str, VoterMessage]]) -> None:
         voter = self.voter
-        was_voting = voter.voting
-        was_seated = voter.seated
-        seat_before = voter.memory.seat
-        for to, message in replies(voter, messages):
+        was_voting = voter.is_voting
+        was_current_voter = voter.is_current_voter
+        identity_before = voter.memory.identity
+        for to, message in answer_messages(voter, messages):
             self.send(to, message)
-        if voter.voting and not was_voting:
+        if voter.is_voting and not was_voting:
             logger.info("this voter votes again, boot {}", voter.memory.boot)
-        elif was_seated and not voter.seated:
+        elif was_current_voter and not voter.is_current_voter:
             logger.info("this member votes no longer")
-        elif seat_before != voter.memory.seat and not voter.seated:
+        elif identity_before != voter.memory.identity and not voter.is_current_voter:
             logger.info("this member is enlisted as a voter, with an empty memory")
 
 
 class FleetActor:
     """Owns this process's fleet member. The actor of the core neither receives from it nor waits for it."""
 
-    def __init__(self, bounds: Bounds, name: str, seed: int) -> None:
-        self.bounds = bounds
+    def __init__(self, options: FleetOptions, name: str, seed: int) -> None:
+        self.options = options
         self.name = name
         self.mailbox: Mailbox[ActorMessage] = Mailbox(MAILBOX_MESSAGES)
-        addresses = {one: parse_address(at.at) or ("", 0) for one, at in bounds.members.items()}
+        addresses = {one: parse_address(at.at) or ("", 0) for one, at in options.members.items()}
         local = MemberUpdate(
-            name, addresses[name], bounds.members[name].zone, int(time.time()), State.ALIVE, False
+            name, addresses[name], options.members[name].zone, int(time.time()), State.ALIVE, False
         )
         # Unique among all starts of all processes: two starts with the same one could pass for one owner.
         start_id = uuid.uuid4().hex[:16]
         self.member = FleetMember(
-            local, start_id, addresses, fleet_config(bounds), Random(seed).random, monotonic_ms()
+            local, start_id, addresses, fleet_config(options), Random(seed).random, monotonic_ms()
+        )
+        self.links = PeerLinks(
+            options.name, name, addresses, options.queue, self.receive, self.answer_operator
         )
-        self.links = PeerLinks(bounds.name, name, addresses, bounds.queue, self.receive, self.answer_operator)
         # A member with a folder can be made a voter while it runs.
-        self.voter = VoterActor(bounds, name, start_id, self.send) if bounds.folder else None
+        self.voter = VoterActor(options, name, start_id, self.send) if options.folder else None
         self.step_clients = {
             duty_name: StepClient(parse_address(duty.to) or ("", 0), self.member.owner_id)
-            for duty_name, duty in bounds.duties.items()
+            for duty_name, duty in options.duties.items()
         }
         self.register_lost_at: float | None = None  # since when the register has not answered
         self.has_reported_register_loss = False
@@ -211,20 +213,22 @@
 
     # -- for the other actors
 
-    def feel(self, board: Board, storm: bool) -> None:
+    def update_gauges(self, published: PublishedState, storm: bool) -> None:
         """Called at each sampling tick. Stores the gauges for the monitor; only a change of this backend's
         eligibility is posted to the mailbox."""
-        self.member.gauges = Gauges(board.well, board.warmth, board.late, board.value, storm)
-        is_eligible = board.well and board.warmth >= MIN_WARMTH
+        self.member.gauges = Gauges(
+            published.healthy, published.warmth, published.tick_delay, published.published_value, storm
+        )
+        is_eligible = published.healthy and published.warmth >= MIN_WARMTH
         if is_eligible is not self.member.membership.local.eligible:
             self.mailbox.post(EligibilityChanged(is_eligible))
 
-    def retune(self, bounds: Bounds) -> None:
+    def apply_options(self, options: FleetOptions) -> None:
         """Applies those options of a reloaded file that can change in a running process."""
-        self.bounds = apply_reloadable(self.bounds, bounds)
-        self.member.apply_config(fleet_config(self.bounds))
+        self.options = apply_reloadable(self.options, options)
+        self.member.apply_config(fleet_config(self.options))
         self.mailbox.wake()
-        unapplied = unapplied_options(self.bounds, bounds)
+        unapplied = unapplied_options(self.options, options)
         if "voters" in unapplied:
             logger.warning(
                 "[fleet] voters are replaced by `myrtlecrank fleet replace-voters` alone; the "
@@ -234,7 +238,7 @@
         if unapplied:
             logger.warning("[fleet] these take a new start and stay as they were: {}", ", ".join(unapplied))
 
-    def depart(self) -> None:
+    def start_drain(self) -> None:
         """Starts the drain of this member."""
         self.mailbox.post(DrainStarted())
 
@@ -242,7 +246,7 @@
         """Queues a message of a peer. Waits while the mailbox is full, which blocks that peer's link only."""
         if isinstance(message, VoterMessage) and self.voter is not None:
             self.voter.put(sender, message)
-        if isinstance(message, Seated) or not isinstance(message, VoterMessage):
+        if isinstance(message, VoterSetNotice) or not isinstance(message, VoterMessage):
             self.mailbox.put(PeerMessage(sender, message))
 
     def send(self, to: str, message: Message) -> None:
@@ -289,9 +293,9 @@
             logger.info("fleet member {} is {}", name, state.name.lower())
         self.member.membership.state_changes.clear()
         for duty in self.member.duties.values():
-            for line in duty.changes:
+            for line in duty.log_lines:
                 logger.info("fleet duty {}: {}", duty.name, line)
-            duty.changes.clear()
+            duty.log_lines.clear()
         for line in self.member.log_lines:
             logger.info("fleet register: {}", line)
         self.member.log_lines.clear()
@@ -309,7 +313,7 @@
             self.has_reported_register_loss = False
         elif self.register_lost_at is None:
             self.register_lost_at = now
-        elif not self.has_reported_register_loss and now - self.register_lost_at >= self.bounds.lease_ms:
+        elif not self.has_reported_register_loss and now - self.register_lost_at >= self.options.lease_ms:
             self.has_reported_register_loss = True
             logger.warning(
                 "the fleet's register does not answer: no majority of its voters is there, "
@@ -372,10 +376,10 @@
     def _replace_voters(self, message: ReplaceVoters) -> Report:
         """Waits for the result, which blocks this operator's connection only. The change continues even if
         the operator hangs up."""
-        result_ready: AsyncResult[Reseated] = AsyncResult()
-        unknown = [name for name in message.add if name not in self.bounds.members]
+        result_ready: AsyncResult[ReconfigurationResult] = AsyncResult()
+        unknown = [name for name in message.add if name not in self.options.members]
         if unknown:
-            names = ", ".join(sorted(self.bounds.members))
+            names = ", ".join(sorted(self.options.members))
             return Report([], f"{unknown[0][:MAX_ECHOED_CHARS]!r} is no member; there are {names}")
         if not self.member.replace_voters(message.drop, message.add, result_ready.set, monotonic_ms()):
             return Report([], "a change of voters is under way from this member already")
@@ -385,14 +389,18 @@
             result = result_ready.get(timeout=REPLACE_VOTERS_TIMEOUT_S)
         if result is None:
             return Report([], "the change takes long and continues; `fleet voters` shows its progress")
-        return Report(list(self.member.voter_rows()), result.wrong)
+        return Report(list(self.member.voter_rows()), result.error)
 
     def _register_rows(self) -> list[Row]:
         voter = self.voter.voter if self.voter is not None else None
-        if voter is None or not voter.seated:
-            names = ", ".join(self.member.proposer.roster.names)
+        if voter is None or not voter.is_current_voter:
+            names = ", ".join(self.member.proposer.voter_set.names)
             return [{"voter": None, "voters": names, "answers": self.member.register_reached}]
-        state = "votes" if voter.voting else f"abstains, heard {len(voter.heard)} of {len(voter.others)}"
+        state = (
+            "votes"
+            if voter.is_voting
+            else f"abstains, heard {len(voter.rejoin_answers)} of {len(voter.others)}"
+        )
         memory = voter.memory
         return [
             {
@@ -400,7 +408,7 @@
                 "state": state,
                 "boot": memory.boot,
                 "keys": len(memory.slots),
-                "disk": not voter.failed,
+                "disk": not voter.last_write_failed,
                 "answers": self.member.register_reached,
             }
         ]
--- a/myrtlecrank/fleet/command.py
+++ b/myrtlecrank/fleet/command.py
@@ -13,10 +13,10 @@
 from gevent import socket
 
 from myrtlecrank.fleet.messages import VERSION, Hello, Message, Query, ReplaceVoters, Report, Row, StepDown
-from myrtlecrank.fleet.options import Bounds, parse_address
-from myrtlecrank.fleet.ownership.lease import opened
+from myrtlecrank.fleet.options import FleetOptions, parse_address
+from myrtlecrank.fleet.ownership.lease import decode_lease
 from myrtlecrank.fleet.peer_links import OPERATOR, MessageReader, RefusedError, encode_frame
-from myrtlecrank.fleet.register.disk import Disk, TornError
+from myrtlecrank.fleet.register.disk import UnusableFileError, VoterFile
 from myrtlecrank.fleet.register.messages import Memory
 
 ANSWER_TIMEOUT_S = 3.0
@@ -42,14 +42,14 @@
     return "-" if value is None else str(value)
 
 
-def ask_member(bounds: Bounds, name: str, message: Message) -> Report:
+def ask_member(options: FleetOptions, name: str, message: Message) -> Report:
     """The report of one member. Raises OSError or RefusedError if it does not answer."""
-    address = parse_address(bounds.members[name].at) or ("", 0)
+    address = parse_address(options.members[name].at) or ("", 0)
     sock = socket.create_connection(address, timeout=ANSWER_TIMEOUT_S)
     if isinstance(message, ReplaceVoters):
         sock.settimeout(REPLACE_VOTERS_TIMEOUT_S)
     try:
-        sock.sendall(encode_frame(Hello(VERSION, bounds.name, OPERATOR)) + encode_frame(message))
+        sock.sendall(encode_frame(Hello(VERSION, options.name, OPERATOR)) + encode_frame(message))
         reader = MessageReader(sock)
         while (answer := reader.next()) is not None:
             if isinstance(answer, Report):
@@ -59,15 +59,15 @@
     raise OSError("the connection was closed without an answer; is it a member of this fleet?")
 
 
-def print_report(bounds: Bounds, at: str | None, message: Message, as_json: bool) -> None:
+def print_report(options: FleetOptions, at: str | None, message: Message, as_json: bool) -> None:
     """Prints the report of the named member, or of the first that answers. Exits with 1 if none answers or
     the report is an error."""
-    if at is not None and at not in bounds.members:
-        _fail(f"{at!r} is no member; there are {', '.join(sorted(bounds.members))}")
+    if at is not None and at not in options.members:
+        _fail(f"{at!r} is no member; there are {', '.join(sorted(options.members))}")
     reason = "there are no members"
-    for name in [at] if at is not None else sorted(bounds.members):
+    for name in [at] if at is not None else sorted(options.members):
         try:
-            report = ask_member(bounds, name, message)
+            report = ask_member(options, name, message)
         except (OSError, RefusedError) as error:
             reason = f"{name}: {error}"
             continue
@@ -89,7 +89,7 @@
 
 def memory_rows(memory: Memory) -> Iterator[Row]:
     """One row for each record that a voter has stored."""
-    voter: Row = {"voter": memory.voter, "boot": memory.boot, "roster": memory.roster.number}
+    voter: Row = {"voter": memory.voter, "boot": memory.boot, "roster": memory.voter_set.number}
     for key, slot in sorted(memory.slots.items()):
         row: Row = {
             **voter,
@@ -102,7 +102,7 @@
             "step": None,
         }
         try:
-            lease = opened(slot.record)
+            lease = decode_lease(slot.record)
             row |= {"owner": lease.owner or None, "epoch": lease.epoch, "step": lease.progress}
         except msgspec.MsgspecError:
             pass  # the record does not hold a lease
@@ -112,8 +112,8 @@
 Decorator = Callable[[Any], Any]
 
 
-def group(bounds_of: Callable[[str | None], Bounds], operators: Decorator) -> click.Group:
-    """The sub-commands. `bounds_of` reads the operators' file, or exits with a message on what is wrong;
+def group(options_of: Callable[[str | None], FleetOptions], operators: Decorator) -> click.Group:
+    """The sub-commands. `options_of` reads the operators' file, or exits with a message on what is wrong;
     `operators` is the option that names the file."""
     at = click.option("--at", metavar="NAME", help="The member to ask; without it, the first that answers.")
     as_json = click.option("--json", "as_json", is_flag=True, help="Prints JSON in place of a table.")
@@ -128,7 +128,7 @@
         @as_json
         @operators
         def query(at: str | None, as_json: bool, operators_file: str | None) -> None:
-            print_report(bounds_of(operators_file), at, Query(subject), as_json)
+            print_report(options_of(operators_file), at, Query(subject), as_json)
 
     add_query("members", "The members and their states, as one member sees them.")
     add_query("owners", "The duties: owner, epoch, last recorded step.")
@@ -145,13 +145,13 @@
 
         What one voter has stored is not necessarily the value of the register: ask a running member for
         that."""
-        bounds = bounds_of(operators_file)
+        options = options_of(operators_file)
         try:
-            stored = Disk(bounds.folder, bounds.name, name).load()
-        except TornError as error:
+            stored = VoterFile(options.folder, options.name, name).load()
+        except UnusableFileError as error:
             _fail(f"the memory of voter {name} {error}")
         if stored is None:
-            _fail(f"voter {name} has no memory in {bounds.folder}")
+            _fail(f"voter {name} has no memory in {options.folder}")
         _print_rows(list(memory_rows(stored)), as_json)
 
     @fleet.command("step-down")
@@ -160,7 +160,7 @@
     @operators
     def step_down(duty: str, at: str, operators_file: str | None) -> None:
         """Makes the owner of DUTY give it to another eligible member."""
-        print_report(bounds_of(operators_file), at, StepDown(duty), False)
+        print_report(options_of(operators_file), at, StepDown(duty), False)
 
     @fleet.command("replace-voters")
     @click.option(
@@ -178,7 +178,7 @@
 
         A voter that is both dropped and added starts again without a memory, for one whose memory is lost.
         With neither option, an incomplete change is completed."""
-        print_report(bounds_of(operators_file), at, ReplaceVoters(list(drop), list(add)), False)
+        print_report(options_of(operators_file), at, ReplaceVoters(list(drop), list(add)), False)
 
     @fleet.command()
     @click.argument("name")
@@ -188,13 +188,13 @@
 
         Run it once for each voter in the life of a fleet, and never after a voter has lost its memory:
         start such a voter without one, and it learns from the others what it must not forget."""
-        bounds = bounds_of(operators_file)
-        if name not in bounds.voters:
-            _fail(f"{name!r} is no voter; there are {', '.join(bounds.voters)}")
+        options = options_of(operators_file)
+        if name not in options.voters:
+            _fail(f"{name!r} is no voter; there are {', '.join(options.voters)}")
         try:
-            Disk(bounds.folder, bounds.name, name).found(bounds.voters)
+            VoterFile(options.folder, options.name, name).create(options.voters)
         except OSError as error:
             _fail(str(error))
-        click.echo(f"voter {name} of fleet {bounds.name} begins with nothing")
+        click.echo(f"voter {name} of fleet {options.name} begins with nothing")
 
     return fleet
--- a/myrtlecrank/fleet/member.py
+++ b/myrtlecrank/fleet/member.py
@@ -11,15 +11,22 @@
 
 from myrtlecrank.fleet.membership.messages import Ack, MemberUpdate, Ping, PingRequest, StateExchange
 from myrtlecrank.fleet.membership.swim import Membership, MembershipTiming
-from myrtlecrank.fleet.messages import DutyOffered, Message, Row, Voted
+from myrtlecrank.fleet.messages import DutyOffered, Message, Row, VoterReply
 from myrtlecrank.fleet.monitor.messages import FleetView, Gauges, GaugesReply
 from myrtlecrank.fleet.monitor.monitor import MONITOR_DUTY, Monitor
-from myrtlecrank.fleet.ownership.lease import Duty, Look, Put, Terms, member_of, rebalance
+from myrtlecrank.fleet.ownership.lease import (
+    Duty,
+    LeaseTimings,
+    ReadRecord,
+    WriteRecord,
+    member_of,
+    rebalance,
+)
 from myrtlecrank.fleet.register.calls import Calls
 from myrtlecrank.fleet.register.caspaxos import Proposer
-from myrtlecrank.fleet.register.messages import Outcome, Result, Seated
-from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
-from myrtlecrank.fleet.register.voter_set import Roster, guessed
+from myrtlecrank.fleet.register.messages import Outcome, Result, VoterSetNotice
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult, reconfigure
+from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
 
 VIEW_MAX_AGE_INTERVALS = 4.0  # a view or reading older than this many view intervals is unknown
@@ -36,7 +43,7 @@
 
     voters: tuple[str, ...]
     schedules: tuple[DutySchedule, ...]
-    lease_terms: Terms
+    lease_timings: LeaseTimings
     membership_timing: MembershipTiming
     register_reply_ms: float  # how long a round of the register waits for votes
     rebalance_ms: float  # between two moves that even out the duties
@@ -44,19 +51,19 @@
     max_concurrent_steps: int = 64
 
 
-def describe_voters(roster: Roster) -> str:
-    """A log line on who votes under this roster."""
-    if not roster.joint:
-        return f"the voters are {', '.join(roster.names)} (roster {roster.number})"
-    old, new = (", ".join(sorted(names)) for names in roster.sets)
-    return f"the voters change from {old} to {new} (roster {roster.number})"
+def describe_voters(voter_set: VoterSet) -> str:
+    """A log line on who votes under this voter set."""
+    if not voter_set.is_joint:
+        return f"the voters are {', '.join(voter_set.names)} (roster {voter_set.number})"
+    old, new = (", ".join(sorted(names)) for names in voter_set.sets)
+    return f"the voters change from {old} to {new} (roster {voter_set.number})"
 
 
-def voter_state(roster: Roster, name: str) -> str:
+def voter_state(voter_set: VoterSet, name: str) -> str:
     """Whether a voter stays, is being added or is being removed, in the words of `fleet voters`."""
-    if all(name in names for names in roster.sets):
+    if all(name in names for names in voter_set.sets):
         return "votes"
-    return "comes" if name in roster.sets[-1] else "goes"
+    return "comes" if name in voter_set.sets[-1] else "goes"
 
 
 class FleetMember:
@@ -80,39 +87,39 @@
         self.outgoing: list[tuple[str, Message]] = []
         self.effects: list[Effect] = []
         self.membership = Membership(local, seeds, config.membership_timing, random, now)
-        self.proposer = Proposer(self.owner_id, guessed(config.voters), random)
+        self.proposer = Proposer(self.owner_id, configured_voter_set(config.voters), random)
         self.register_calls = Calls(
             config.register_reply_ms, lambda to, request: self.outgoing.append((to, request))
         )
         self.random = random
-        self.announced_roster = self.proposer.roster  # the newest that the other members were sent
+        self.announced_voter_set = self.proposer.voter_set  # the newest that the other members were sent
         self.has_reported_founding_conflict = False
         self.is_replacing_voters = False  # a change of voters is driven from this member
         self.voter_change_count = 0
         self.log_lines: list[str] = []  # for the log; the reader clears it
         self.complete_change_due = math.inf  # when this member completes an incomplete change of voters
         self.duties = {
-            schedule.name: Duty(schedule.name, self.owner_id, config.lease_terms)
+            schedule.name: Duty(schedule.name, self.owner_id, config.lease_timings)
             for schedule in config.schedules
         }
         self.scheduler = StepScheduler(config.schedules, self.duties, config.max_concurrent_steps)
         self.gauges = Gauges()  # this backend's own, as last reported
         self.monitor = Monitor(config.view_interval_ms, VIEW_MAX_AGE_INTERVALS * config.view_interval_ms)
         if config.view_interval_ms:
-            self.duties[MONITOR_DUTY] = Duty(MONITOR_DUTY, self.owner_id, config.lease_terms)
+            self.duties[MONITOR_DUTY] = Duty(MONITOR_DUTY, self.owner_id, config.lease_timings)
         self.is_leaving = False
         self.register_reached: bool | None = None  # whether the last call to the register had a majority
         self.rebalance_due = now + config.rebalance_ms
         # The first read of each duty is spread over one interval, so that members do not all read at once.
         for duty in self.duties.values():
-            duty.due = now + config.lease_terms.look * random()
+            duty.due = now + config.lease_timings.poll_interval_ms * random()
 
     # -- incoming messages
 
     def handle(self, sender: str, message: Message, now: float) -> None:
         """Handles a message of another member. Messages to the voter are not passed here."""
-        if isinstance(message, Voted):
-            self.register_calls.heard(sender, message, now)
+        if isinstance(message, VoterReply):
+            self.register_calls.receive_vote(sender, message, now)
         elif isinstance(message, Ping | PingRequest | Ack | StateExchange):
             self.outgoing += self.membership.handle(sender, message, now)
         elif isinstance(message, FleetView):
@@ -123,8 +130,8 @@
                 self.outgoing.append((sender, reply))
         elif isinstance(message, GaugesReply):
             self.monitor.handle_reply(sender, message, now)
-        elif isinstance(message, Seated):
-            self.proposer.seated(message.roster)
+        elif isinstance(message, VoterSetNotice):
+            self.proposer.adopt_voter_set(message.voter_set)
         elif isinstance(message, DutyOffered) and message.duty in self.duties:
             self.duties[message.duty].due = now
 
@@ -161,12 +168,12 @@
 
     def due(self) -> float:
         """The time at which tick() has something to do again."""
-        calls = [max(duty.due, 0.0) for duty in self.duties.values() if duty.asked is None]
-        lease_ends = [duty.until for duty in self.duties.values() if duty.epoch is not None]
+        calls = [max(duty.due, 0.0) for duty in self.duties.values() if duty.pending_request is None]
+        lease_ends = [duty.lease_end for duty in self.duties.values() if duty.epoch is not None]
         views = [self.monitor.due] if self.monitor.epoch is not None else []
         timers = [
             self.membership.due(),
-            self.register_calls.due(),
+            self.register_calls.next_due(),
             self.rebalance_due,
             self.complete_change_due,
         ]
@@ -178,14 +185,14 @@
         owned_count = len(self.owned(now))
         self.register_calls.tick(now)
         self.outgoing += self.membership.tick(now)
-        self._check_roster(now)
+        self._check_voter_set(now)
         is_eligible = self.membership.local.eligible and not self.is_leaving
         for duty in self.duties.values():
-            call = duty.want(now, is_eligible, owned_count)
+            call = duty.next_request(now, is_eligible, owned_count)
             if call is not None:
                 self._call_register(duty, call, now)
-            elif duty.asked is None and duty.due <= now:
-                duty.due = now + self.config.lease_terms.look / RECHECKS_PER_READ_INTERVAL
+            elif duty.pending_request is None and duty.due <= now:
+                duty.due = now + self.config.lease_timings.poll_interval_ms / RECHECKS_PER_READ_INTERVAL
         self.effects += self.scheduler.tick(now)
         if self.config.view_interval_ms:
             epoch = self.duties[MONITOR_DUTY].owns(now)
@@ -194,21 +201,21 @@
             self.rebalance_due = now + self.config.rebalance_ms
             self._rebalance()
 
-    def _call_register(self, duty: Duty, request: Look | Put, now: float) -> None:
-        duty.sending(request, now)
+    def _call_register(self, duty: Duty, request: ReadRecord | WriteRecord, now: float) -> None:
+        duty.request_sent(request, now)
 
         def done(outcome: Outcome, ended_at: float) -> None:
             epoch_before = duty.epoch
-            heir = duty.heir
-            self.register_reached = outcome.result is not Result.AWAY
-            duty.heard(outcome, ended_at)
-            if epoch_before is not None and duty.epoch is None and heir:
-                self.outgoing.append((heir, DutyOffered(duty.name)))
-
-        if isinstance(request, Put):
-            call = self.proposer.change(duty.name, request.over, request.value())
-        elif not request.sure:
-            call = self.proposer.glance(duty.name)
+            successor = duty.successor
+            self.register_reached = outcome.result is not Result.UNAVAILABLE
+            duty.outcome_received(outcome, ended_at)
+            if epoch_before is not None and duty.epoch is None and successor:
+                self.outgoing.append((successor, DutyOffered(duty.name)))
+
+        if isinstance(request, WriteRecord):
+            call = self.proposer.compare_and_set(duty.name, request.expected, request.value())
+        elif not request.is_verified:
+            call = self.proposer.read_unverified(duty.name)
         else:
             call = self.proposer.read(duty.name)
         self.register_calls.start(call, done, now)
@@ -216,30 +223,31 @@
     def step_down(self, name: str) -> bool:
         """On an operator's request, gives a duty to the best other member. False if no other member is
         eligible; the duty then stays here."""
-        heir = self._choose_heir()
-        if heir:
-            self.duties[name].give_up(heir)
-        return bool(heir)
+        successor = self._choose_successor()
+        if successor:
+            self.duties[name].release(successor)
+        return bool(successor)
 
     # -- the voters
 
-    def _check_roster(self, now: float) -> None:
-        """Announces a newer roster to the other members, once. That is only a hint, as the voters tell it to
-        whoever asks them. Any member that knows of an incomplete change completes it, at a random delay."""
-        roster = self.proposer.roster
-        if roster.number > self.announced_roster.number:
-            was_known = self.announced_roster.number >= 0
-            self.announced_roster = roster
-            if was_known or roster.joint:
-                names = sorted({*self.membership.active(), *roster.names})
-                self.outgoing += [(name, Seated(roster)) for name in names]
-            self.log_lines.append(describe_voters(roster))
-            self.complete_change_due = self._next_complete_change(now) if roster.joint else math.inf
-        if self.proposer.unlike is not None and not self.has_reported_founding_conflict:
+    def _check_voter_set(self, now: float) -> None:
+        """Announces a newer voter set to the other members, once. That is only a hint, as the voters tell it
+        to whoever asks them. Any member that knows of an incomplete change completes it, at a random
+        delay."""
+        voter_set = self.proposer.voter_set
+        if voter_set.number > self.announced_voter_set.number:
+            was_known = self.announced_voter_set.number >= 0
+            self.announced_voter_set = voter_set
+            if was_known or voter_set.is_joint:
+                names = sorted({*self.membership.active(), *voter_set.names})
+                self.outgoing += [(name, VoterSetNotice(voter_set)) for name in names]
+            self.log_lines.append(describe_voters(voter_set))
+            self.complete_change_due = self._next_complete_change(now) if voter_set.is_joint else math.inf
+        if self.proposer.conflicting_voter_set is not None and not self.has_reported_founding_conflict:
             self.has_reported_founding_conflict = True
-            others = ", ".join(self.proposer.unlike.names)
+            others = ", ".join(self.proposer.conflicting_voter_set.names)
             self.log_lines.append(
-                f"some voters were founded as {others}, others as {', '.join(roster.names)}: "
+                f"some voters were founded as {others}, others as {', '.join(voter_set.names)}: "
                 "they never vote together; begin the fleet anew from one file"
             )
         if now >= self.complete_change_due:
@@ -248,10 +256,14 @@
 
     def _next_complete_change(self, now: float) -> float:
         waits = COMPLETE_CHANGE_MIN_WAITS + COMPLETE_CHANGE_WAIT_RANGE * self.random()
-        return now + self.config.lease_terms.wait * waits
+        return now + self.config.lease_timings.takeover_wait_ms * waits
 
     def replace_voters(
-        self, drop: Iterable[str], add: Iterable[str], done: Callable[[Reseated], None], now: float
+        self,
+        drop: Iterable[str],
+        add: Iterable[str],
+        done: Callable[[ReconfigurationResult], None],
+        now: float,
     ) -> bool:
         """Starts a change of voters; `done` is called with its result. False if this member is already
         driving one."""
@@ -260,25 +272,25 @@
         self.is_replacing_voters = True
         self.voter_change_count += 1
 
-        def ended(result: Reseated, _: float) -> None:
+        def ended(result: ReconfigurationResult, _: float) -> None:
             self.is_replacing_voters = False
             done(result)
 
         token = f"{self.owner_id}:{self.voter_change_count}"
-        self.register_calls.start(reseat(self.proposer, drop, add, token), ended, now)
+        self.register_calls.start(reconfigure(self.proposer, drop, add, token), ended, now)
         return True
 
     # -- rows for operators
 
     def voter_rows(self) -> Iterator[Row]:
         """The voters as this member knows them."""
-        roster = self.proposer.roster
-        for name in roster.names:
+        voter_set = self.proposer.voter_set
+        for name in voter_set.names:
             yield {
                 "voter": name,
-                "roster": roster.number,
-                "seat": roster.seat(name) or "founder",
-                "state": voter_state(roster, name),
+                "roster": voter_set.number,
+                "seat": voter_set.identity_of(name) or "founder",
+                "state": voter_state(voter_set, name),
             }
 
     def member_rows(self, now: float) -> Iterator[Row]:
@@ -323,9 +335,9 @@
                 "owner": member_of(lease.owner) or None,
                 "epoch": lease.epoch,
                 "step": lease.progress,
-                "seen_ms_ago": round(now - duty.since),
+                "seen_ms_ago": round(now - duty.record_seen_at),
                 "here": duty.owns(now) is not None,
-                "heir": lease.heir or None,
+                "heir": lease.successor or None,
             }
 
     # -- the steps of a duty
@@ -336,7 +348,7 @@
 
     # -- distribution of the duties
 
-    def _choose_heir(self) -> str:
+    def _choose_successor(self) -> str:
         """An eligible other member, the one with the fewest duties if that evens them out; empty if there is
         none."""
         eligible = self.membership.eligible()
@@ -351,27 +363,27 @@
         eligible."""
         owners = self._owners()
         for name, duty in self.duties.items():
-            if duty.epoch is not None and duty.heir is None:
+            if duty.epoch is not None and duty.successor is None:
                 counts = {one: 0 for one in self.membership.eligible() if one != self.name}
                 for owner in owners.values():
                     if owner in counts:
                         counts[owner] += 1
                 owners[name] = min(counts, key=lambda one: (counts[one], one), default="")
-                duty.give_up(owners[name])
+                duty.release(owners[name])
 
     def _rebalance(self) -> None:
         if self.is_leaving:
             self._hand_over_all()
         elif not self.membership.local.eligible:
             owned = [duty for duty in self.duties.values() if duty.epoch is not None]
-            if owned and (heir := self._choose_heir()):
-                owned[0].give_up(heir)  # one at a time
+            if owned and (successor := self._choose_successor()):
+                owned[0].release(successor)  # one at a time
         else:
             eligible = self.membership.eligible()
             move = rebalance(self._owners(), self.name, eligible, self.membership.zones())
             if move is not None:
-                duty_name, heir = move
-                self.duties[duty_name].give_up(heir)
+                duty_name, successor = move
+                self.duties[duty_name].release(successor)
 
     def _owners(self) -> dict[str, str]:
         return {name: member_of(duty.lease.owner) for name, duty in self.duties.items()}
--- a/myrtlecrank/fleet/messages.py
+++ b/myrtlecrank/fleet/messages.py
@@ -7,7 +7,7 @@
 
 from myrtlecrank.fleet.membership.messages import Ack, Ping, PingRequest, StateExchange
 from myrtlecrank.fleet.monitor.messages import FleetView, GaugesReply
-from myrtlecrank.fleet.register.messages import Ask, Known, Rejoin, Seated, Vote
+from myrtlecrank.fleet.register.messages import Rejoin, RejoinAnswer, Vote, VoterOperation, VoterSetNotice
 
 VERSION = 2  # of the protocol as a whole; a peer with another version is refused
 
@@ -20,20 +20,20 @@
     name: str
 
 
-class Asked(Struct, frozen=True, tag=True):
+class VoterRequest(Struct, frozen=True, tag="Asked"):
     """A request to a voter.
 
-    The vote carries `call` and `round` back, which identifies late votes. `mark` identifies the voter set
-    under which the request is made."""
+    The vote carries `call` and `round` back, which identifies late votes. `roster_mark` identifies the voter
+    set under which the request is made."""
 
     call: int
     round: int
-    mark: str
-    ask: Ask
+    roster_mark: str = field(name="mark")
+    ask: VoterOperation
 
 
-class Voted(Struct, frozen=True, tag=True):
-    """A voter's answer to an Asked with the same `call` and `round`."""
+class VoterReply(Struct, frozen=True, tag="Voted"):
+    """A voter's answer to a VoterRequest with the same `call` and `round`."""
 
     call: int
     round: int
@@ -79,11 +79,11 @@
     FleetView
     | GaugesReply
     | Hello
-    | Asked
-    | Voted
+    | VoterRequest
+    | VoterReply
     | Rejoin
-    | Known
-    | Seated
+    | RejoinAnswer
+    | VoterSetNotice
     | DutyOffered
     | Ping
     | PingRequest
--- a/myrtlecrank/fleet/options.py
+++ b/myrtlecrank/fleet/options.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, fields, replace
 
-from myrtlecrank.operators.sections import figure, table, words
+from myrtlecrank.operators.sections import scalar_option, table_option, text_option
 
 MAX_IPV4_PART = 255
 MAX_PORT = 65535
@@ -17,45 +17,51 @@
 class MemberOptions:
     """[fleet.members.NAME]: one member of the fleet, by the name in its configuration."""
 
-    at: str = words("IPv4 address and port where its peers connect", least=1)
-    zone: str = words("where it stands; duties are spread over zones")
+    at: str = text_option("IPv4 address and port where its peers connect", least=1)
+    zone: str = text_option("where it stands; duties are spread over zones")
 
 
 @dataclass(frozen=True, slots=True)
 class DutyOptions:
     """[fleet.duties.NAME]: one duty, whose steps one member at a time carries out."""
 
-    to: str = words("IPv4 address and port that takes its steps", least=1)
-    every_ms: float = figure(1000.0, 10.0, 3_600_000.0, "from the end of a step to the next")
-    deadline_ms: float = figure(400.0, 10.0, 60_000.0, "how long a step may take")
-    back_off_ms: float = figure(100.0, 10.0, 60_000.0, "wait after a failed step; doubled up to 16 times")
-    share: float = figure(1.0, 0.001, 1.0, "the most of the time in which its steps may be under way")
+    to: str = text_option("IPv4 address and port that takes its steps", least=1)
+    every_ms: float = scalar_option(1000.0, 10.0, 3_600_000.0, "from the end of a step to the next")
+    deadline_ms: float = scalar_option(400.0, 10.0, 60_000.0, "how long a step may take")
+    back_off_ms: float = scalar_option(
+        100.0, 10.0, 60_000.0, "wait after a failed step; doubled up to 16 times"
+    )
+    share: float = scalar_option(1.0, 0.001, 1.0, "the most of the time in which its steps may be under way")
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class FleetOptions:
     """[fleet]: the options of the fleet as a whole."""
 
-    on: bool = figure(False, what="members know of each other and share duties")
-    name: str = words("of the fleet; peers of another are refused", least=1)
-    folder: str = words("where a voter keeps its memory; must outlast the process")
-    voters: tuple[str, ...] = words("members that keep the register; an odd number", default=())
-    trust_disk: bool = figure(
+    on: bool = scalar_option(False, what="members know of each other and share duties")
+    name: str = text_option("of the fleet; peers of another are refused", least=1)
+    folder: str = text_option("where a voter keeps its memory; must outlast the process")
+    voters: tuple[str, ...] = text_option("members that keep the register; an odd number", default=())
+    trust_disk: bool = scalar_option(
         False, what="a voter that restarts with its file votes at once, without asking all others"
     )
-    lease_ms: float = figure(2000.0, 200.0, 120_000.0, "an owner that hears nothing stops after this")
-    drift: float = figure(0.01, 0.0, 0.2, "the most by which any clock runs fast or slow, as a share")
-    reply_ms: float = figure(250.0, 10.0, 10_000.0, "how long a round of the register waits")
-    probe_ms: float = figure(500.0, 20.0, 60_000.0, "from one probe of a member to the next")
-    probe_reply_ms: float = figure(150.0, 5.0, 10_000.0, "until others are asked to probe too")
-    helpers: int = figure(3, 0, 16, "how many are asked")
-    suspect_ms: float = figure(1500.0, 50.0, 600_000.0, "least time in suspicion; six times that unconfirmed")
-    even_ms: float = figure(3000.0, 100.0, 3_600_000.0, "between two moves to even the duties out")
-    watch_ms: float = figure(1000.0, 0.0, 60_000.0, "between two views of the fleet by its watcher; 0: none")
-    together: int = figure(8, 1, 1024, "steps of duties that one member has under way at a time")
-    queue: int = figure(256, 16, 65_536, "messages that wait for one peer; more are dropped")
-    members: dict[str, MemberOptions] = table(MemberOptions, "every member, by name")  # noqa: RUF009
-    duties: dict[str, DutyOptions] = table(DutyOptions, "every duty, by name")  # noqa: RUF009
+    lease_ms: float = scalar_option(2000.0, 200.0, 120_000.0, "an owner that hears nothing stops after this")
+    drift: float = scalar_option(0.01, 0.0, 0.2, "the most by which any clock runs fast or slow, as a share")
+    reply_ms: float = scalar_option(250.0, 10.0, 10_000.0, "how long a round of the register waits")
+    probe_ms: float = scalar_option(500.0, 20.0, 60_000.0, "from one probe of a member to the next")
+    probe_reply_ms: float = scalar_option(150.0, 5.0, 10_000.0, "until others are asked to probe too")
+    helpers: int = scalar_option(3, 0, 16, "how many are asked")
+    suspect_ms: float = scalar_option(
+        1500.0, 50.0, 600_000.0, "least time in suspicion; six times that unconfirmed"
+    )
+    even_ms: float = scalar_option(3000.0, 100.0, 3_600_000.0, "between two moves to even the duties out")
+    watch_ms: float = scalar_option(
+        1000.0, 0.0, 60_000.0, "between two views of the fleet by its watcher; 0: none"
+    )
+    together: int = scalar_option(8, 1, 1024, "steps of duties that one member has under way at a time")
+    queue: int = scalar_option(256, 16, 65_536, "messages that wait for one peer; more are dropped")
+    members: dict[str, MemberOptions] = table_option(MemberOptions, "every member, by name")  # noqa: RUF009
+    duties: dict[str, DutyOptions] = table_option(DutyOptions, "every duty, by name")  # noqa: RUF009
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
@@ -72,38 +78,38 @@
     return text.isdecimal() and text.isascii()
 
 
-def contradictions(bounds: Bounds) -> list[str]:
+def contradictions(options: FleetOptions) -> list[str]:
     """One line for each mistake in the section that a single option does not show."""
-    if not bounds.on:
+    if not options.on:
         return []
     return [
-        *_fleet_mistakes(bounds),
-        *_member_mistakes(bounds),
-        *_duty_mistakes(bounds),
-        *_timing_mistakes(bounds),
+        *_fleet_mistakes(options),
+        *_member_mistakes(options),
+        *_duty_mistakes(options),
+        *_timing_mistakes(options),
     ]
 
 
-def _fleet_mistakes(bounds: Bounds) -> list[str]:
+def _fleet_mistakes(options: FleetOptions) -> list[str]:
     wrong = []
-    if not bounds.name:
+    if not options.name:
         wrong.append("name: is empty; a fleet needs a name")
-    if len(bounds.voters) % 2 == 0:
-        wrong.append(f"voters: must be an odd number of members, found {len(bounds.voters)}")
-    if len(set(bounds.voters)) < len(bounds.voters):
+    if len(options.voters) % 2 == 0:
+        wrong.append(f"voters: must be an odd number of members, found {len(options.voters)}")
+    if len(set(options.voters)) < len(options.voters):
         wrong.append("voters: must be different members, found one twice")
-    wrong += [f"voters: {name!r} is no member" for name in bounds.voters if name not in bounds.members]
-    if bounds.voters and not bounds.folder:
+    wrong += [f"voters: {name!r} is no member" for name in options.voters if name not in options.members]
+    if options.voters and not options.folder:
         wrong.append("folder: voters need one that outlasts the process")
     return wrong
 
 
-def _member_mistakes(bounds: Bounds) -> list[str]:
+def _member_mistakes(options: FleetOptions) -> list[str]:
     wrong = []
-    if not bounds.members:
+    if not options.members:
         wrong.append("members: at least one is needed, found none")
     name_by_address: dict[str, str] = {}
-    for name, member in bounds.members.items():
+    for name, member in options.members.items():
         if parse_address(member.at) is None:
             wrong.append(f"members.{name} at: {member.at!r} is not an IPv4 address with a port")
         elif member.at in name_by_address:
@@ -115,41 +121,41 @@
     return wrong
 
 
-def _duty_mistakes(bounds: Bounds) -> list[str]:
-    wrong = [f"duties.{name}: the name must not contain a slash" for name in bounds.duties if "/" in name]
-    for name, duty in bounds.duties.items():
+def _duty_mistakes(options: FleetOptions) -> list[str]:
+    wrong = [f"duties.{name}: the name must not contain a slash" for name in options.duties if "/" in name]
+    for name, duty in options.duties.items():
         if parse_address(duty.to) is None:
             wrong.append(f"duties.{name} to: {duty.to!r} is not an IPv4 address with a port")
-        if duty.deadline_ms > bounds.lease_ms:
+        if duty.deadline_ms > options.lease_ms:
             wrong.append(
-                f"duties.{name} deadline_ms: must be at most lease_ms, {bounds.lease_ms:g}, found "
+                f"duties.{name} deadline_ms: must be at most lease_ms, {options.lease_ms:g}, found "
                 f"{duty.deadline_ms:g}: no owner could finish such a step"
             )
     return wrong
 
 
-def _timing_mistakes(bounds: Bounds) -> list[str]:
+def _timing_mistakes(options: FleetOptions) -> list[str]:
     wrong = []
-    if REPLY_TIMEOUTS_PER_LEASE * bounds.reply_ms > bounds.lease_ms:
+    if REPLY_TIMEOUTS_PER_LEASE * options.reply_ms > options.lease_ms:
         wrong.append(
-            f"reply_ms: four times it must fit into lease_ms, {bounds.lease_ms:g}, found "
-            f"{bounds.reply_ms:g}: a renewal that is retried once would come too late"
+            f"reply_ms: four times it must fit into lease_ms, {options.lease_ms:g}, found "
+            f"{options.reply_ms:g}: a renewal that is retried once would come too late"
         )
-    if bounds.probe_reply_ms >= bounds.probe_ms:
+    if options.probe_reply_ms >= options.probe_ms:
         wrong.append(
-            f"probe_reply_ms: must be below probe_ms, {bounds.probe_ms:g}, found {bounds.probe_reply_ms:g}"
+            f"probe_reply_ms: must be below probe_ms, {options.probe_ms:g}, found {options.probe_reply_ms:g}"
         )
     return wrong
 
 
-def placed(bounds: Bounds, name: str) -> str | None:
+def membership_error(options: FleetOptions, name: str) -> str | None:
     """One line on why the backend of this name cannot be in this fleet; None if it can."""
-    if name in bounds.members:
+    if name in options.members:
         return None
     return f"[fleet] members: this backend, {name!r}, is none of them"
 
 
-def apply_reloadable(old: Bounds, new: Bounds) -> Bounds:
+def apply_reloadable(old: FleetOptions, new: FleetOptions) -> FleetOptions:
     """The old options with those of the new ones that can change in a running process: the schedules of the
     duties that it has, the limit on concurrent steps and the rebalancing interval."""
     duties = {
@@ -166,6 +172,6 @@
     return replace(old, duties=duties, together=new.together, even_ms=new.even_ms)
 
 
-def unapplied_options(current: Bounds, new: Bounds) -> list[str]:
+def unapplied_options(current: FleetOptions, new: FleetOptions) -> list[str]:
     """The names of the options that change only with a restart."""
     return [one.name for one in fields(current) if getattr(current, one.name) != getattr(new, one.name)]
--- a/myrtlecrank/fleet/ownership/lease.py
+++ b/myrtlecrank/fleet/ownership/lease.py
@@ -28,15 +28,15 @@
 class Lease(Struct, frozen=True):
     """The value of a duty's record.
 
-    `owner` is empty if the last owner released the duty, perhaps in favour of `heir`. `epoch` grows by one
-    with each acquisition and never otherwise; `attempt` is new with each attempt to write the record.
+    `owner` is empty if the last owner released the duty, perhaps in favour of `successor`. `epoch` grows by
+    one with each acquisition and never otherwise; `attempt` is new with each attempt to write the record.
     `progress` is the last completed step, from which a new owner continues: it is in the same record as the
     lease, so that a former owner cannot change it."""
 
     owner: str = ""
     epoch: int = 0
     attempt: int = field(default=0, name="turn")
-    heir: str = field(default="", name="heir")
+    successor: str = field(default="", name="heir")
     progress: int = 0
 
 
@@ -46,35 +46,35 @@
 def member_of(owner: str) -> str:
     """The member's name in an owner's name.
 
-    An owner is one start of a member, `name/start`; heirs and the holders of duties are members, by name
+    An owner is one start of a member, `name/start`; successors and the holders of duties are members, by name
     alone."""
     return owner.split("/", 1)[0]
 
 
-def opened(record: Record) -> Lease:
+def decode_lease(record: Record) -> Lease:
     """The lease in a record. Raises msgspec.MsgspecError if the record holds something else."""
     return msgspec.msgpack.decode(record.value, type=Lease) if record.version else NO_LEASE
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTimings:
     """The durations of a lease, in ms, derived once from the operators' options.
 
-    `lease_ms`: from the sending of a successful write to the end of ownership. `wait`: for how long a
-    record must have stayed unchanged before another member acquires the duty. `renewal_interval_ms`:
-    between renewals by the owner. `look`: between reads by the members that do not own the duty.
+    `lease_ms`: from the sending of a successful write to the end of ownership. `takeover_wait_ms`: for how
+    long a record must have stayed unchanged before another member acquires the duty. `renewal_interval_ms`:
+    between renewals by the owner. `poll_interval_ms`: between reads by the members that do not own the duty.
     `stagger_ms`: how much later a member acquires a duty for each duty that it owns already.
-    `successor_wait_ms`: for how long the others leave a released duty to its heir."""
+    `successor_wait_ms`: for how long the others leave a released duty to its successor."""
 
     lease_ms: float
-    wait: float
+    takeover_wait_ms: float
     renewal_interval_ms: float
-    look: float
+    poll_interval_ms: float
     stagger_ms: float
     successor_wait_ms: float
 
     @classmethod
-    def of(cls, lease_ms: float, drift: float, poll_interval_ms: float) -> Terms:
+    def derive(cls, lease_ms: float, drift: float, poll_interval_ms: float) -> LeaseTimings:
         """The terms for a lease, a drift and an interval between reads.
 
         `drift` is the largest error of any member's clock rate, as a share. The owner's clock may run slow
@@ -93,20 +93,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ReadRecord:
     """A request to read the duty's record.
 
-    `sure`: by a linearizable read, as a member that owns the duty, or may own it, needs it. The other members
-    use an unverified read, since a change over the record that they saw tells whether it is current."""
+    `is_verified`: by a linearizable read, as a member that owns the duty, or may own it, needs it. The other
+    members use an unverified read, since a change over the record that they saw tells whether it is
+    current."""
 
-    sure: bool
+    is_verified: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
-    """A request to write the lease to the duty's record if `over` is the current record."""
+class WriteRecord:
+    """A request to write the lease to the duty's record if `expected` is the current record."""
 
-    over: Record
+    expected: Record
     lease: Lease
 
     def value(self) -> bytes:
@@ -117,33 +118,33 @@
 class Duty:
     """One duty as one process knows it.
 
-    One request to the register is under way at a time: want() returns the next one, sending() and heard() are
-    called before and after it. owns() is called right before each effect."""
+    One request to the register is under way at a time: next_request() returns the next one, request_sent()
+    and outcome_received() are called before and after it. owns() is called right before each effect."""
 
-    def __init__(self, name: str, owner_id: str, terms: Terms) -> None:
+    def __init__(self, name: str, owner_id: str, timings: LeaseTimings) -> None:
         self.name = name
         self.owner_id = owner_id
-        self.terms = terms
+        self.timings = timings
         self.record = EMPTY_RECORD
         self.lease = NO_LEASE
         self.record_is_known = False  # the record was read after the last request of unknown outcome
-        self.since = 0.0  # when the record was first seen in its present state
+        self.record_seen_at = 0.0  # when the record was first seen in its present state
         self.epoch: int | None = None  # while this process owns the duty by its own knowledge
-        self.until = 0.0  # the end of that ownership
+        self.lease_end = 0.0  # the end of that ownership
         self.attempts = 0
         # Attempt number and time of the last write. An attempt number names one write: if two had the same,
         # an older one that was chosen late would be taken for the newer, and the lease counted from too
         # late.
         self.sent_attempt = 0
         self.sent_at = 0.0
-        self.asked: Look | Put | None = None  # the request under way
-        self.due = 0.0  # want() returns nothing before
-        self.is_eligible = False  # as given to want() last
-        self.owned_count = 0  # as given to want() last
+        self.pending_request: ReadRecord | WriteRecord | None = None  # the request under way
+        self.due = 0.0  # next_request() returns nothing before
+        self.is_eligible = False  # as given to next_request() last
+        self.owned_count = 0  # as given to next_request() last
         self.completed_step = 0  # by the owner, recorded or not
         # While the owner releases the duty: the member that it is meant for, empty for any member.
-        self.heir: str | None = None
-        self.changes: list[str] = []  # lines for the log; the reader empties the list
+        self.successor: str | None = None
+        self.log_lines: list[str] = []  # lines for the log; the reader empties the list
 
     # -- what the process may do
 
@@ -152,9 +153,9 @@
 
         The clock is read first, so a process that wakes from a pause of any length finds that its lease has
         expired."""
-        if self.epoch is not None and now >= self.until:
+        if self.epoch is not None and now >= self.lease_end:
             self._lose("its lease ran out")
-        return self.epoch if self.heir is None else None
+        return self.epoch if self.successor is None else None
 
     def advance(self, progress: int) -> None:
         """Notes that the owner has completed all steps up to this one; it is recorded by a write that is due
@@ -162,89 +163,95 @@
         self.completed_step = max(progress, self.completed_step)
         self.due = 0.0
 
-    def recorded(self) -> int:
+    def recorded_step(self) -> int:
         """The last step that the register has recorded."""
         return self.lease.progress
 
-    def give_up(self, heir: str = "") -> None:
+    def release(self, successor: str = "") -> None:
         """Releases the duty, for a drain or to balance the duties. Nothing is done under the lease from now
         on."""
-        if self.epoch is not None and self.heir is None:
-            self.heir = heir
+        if self.epoch is not None and self.successor is None:
+            self.successor = successor
             self.due = 0.0
 
     # -- requests to the register
 
-    def want(self, now: float, is_eligible: bool, owned_count: int) -> Look | Put | None:
+    def next_request(
+        self, now: float, is_eligible: bool, owned_count: int
+    ) -> ReadRecord | WriteRecord | None:
         """The request to make now, if any.
 
         `is_eligible`: this process may acquire a duty (it is not draining, cold or under duress).
         `owned_count`: how many duties it owns."""
-        if self.asked is not None or now < self.due:
+        if self.pending_request is not None or now < self.due:
             return None
         self.is_eligible = is_eligible
         self.owned_count = owned_count
         self.owns(now)
         if not self.record_is_known:
-            return Look(self.epoch is not None)
+            return ReadRecord(self.epoch is not None)
         old = self.lease
         if self.epoch is not None:
-            if self.heir is not None:
-                return Put(self.record, self._new_lease("", old.epoch, self.heir, self.completed_step))
-            is_renewal_due = now >= self.sent_at + self.terms.renewal_interval_ms
+            if self.successor is not None:
+                return WriteRecord(
+                    self.record, self._new_lease("", old.epoch, self.successor, self.completed_step)
+                )
+            is_renewal_due = now >= self.sent_at + self.timings.renewal_interval_ms
             if is_renewal_due or self.completed_step > old.progress:
-                return Put(self.record, self._new_lease(self.owner_id, old.epoch, "", self.completed_step))
+                return WriteRecord(
+                    self.record, self._new_lease(self.owner_id, old.epoch, "", self.completed_step)
+                )
             return None
         if is_eligible and now >= self.available_at(owned_count):
-            return Put(self.record, self._new_lease(self.owner_id, old.epoch + 1, "", old.progress))
-        return Look(self.epoch is not None)
+            return WriteRecord(self.record, self._new_lease(self.owner_id, old.epoch + 1, "", old.progress))
+        return ReadRecord(self.epoch is not None)
 
-    def _new_lease(self, owner: str, epoch: int, heir: str, progress: int) -> Lease:
+    def _new_lease(self, owner: str, epoch: int, successor: str, progress: int) -> Lease:
         self.attempts += 1
-        return Lease(owner, epoch, self.attempts, heir, progress)
+        return Lease(owner, epoch, self.attempts, successor, progress)
 
     def available_at(self, owned_count: int) -> float:
         """From when on this process may acquire the duty if its record stays unchanged."""
-        delay = self.terms.stagger_ms * owned_count
+        delay = self.timings.stagger_ms * owned_count
         if self.lease.owner == self.owner_id:
-            return self.since  # only this very start could own it, and it does not
+            return self.record_seen_at  # only this very start could own it, and it does not
         if self.lease.owner:
-            return self.since + self.terms.wait + delay
-        if self.lease.heir not in ("", member_of(self.owner_id)):
-            return self.since + self.terms.successor_wait_ms + delay
-        return self.since + (0.0 if self.lease.heir else delay)
+            return self.record_seen_at + self.timings.takeover_wait_ms + delay
+        if self.lease.successor not in ("", member_of(self.owner_id)):
+            return self.record_seen_at + self.timings.successor_wait_ms + delay
+        return self.record_seen_at + (0.0 if self.lease.successor else delay)
 
-    def sending(self, request: Look | Put, now: float) -> None:
+    def request_sent(self, request: ReadRecord | WriteRecord, now: float) -> None:
         """Notes that the request is sent. `now` is read before its first byte leaves: the lease counts from
         then."""
-        self.asked = request
-        if isinstance(request, Put):
+        self.pending_request = request
+        if isinstance(request, WriteRecord):
             self.sent_attempt = request.lease.attempt
             self.sent_at = now
 
-    def heard(self, outcome: Outcome, now: float) -> None:
+    def outcome_received(self, outcome: Outcome, now: float) -> None:
         """Takes in the outcome of the request. `now` is read after its last byte arrived."""
-        request = self.asked
-        self.asked = None
+        request = self.pending_request
+        self.pending_request = None
         if request is None:
             return
-        if outcome.result in (Result.UNKNOWN, Result.AWAY):
+        if outcome.result in (Result.UNKNOWN, Result.UNAVAILABLE):
             # The write may be chosen or not. A duty that is owned stays so until the end of its lease; the
             # record is read again before anything else.
             self.record_is_known = False
-            self.due = now + self.terms.look / RETRIES_PER_POLL
+            self.due = now + self.timings.poll_interval_ms / RETRIES_PER_POLL
             return
-        if isinstance(request, Put) and outcome.result is Result.DONE:
+        if isinstance(request, WriteRecord) and outcome.result is Result.DONE:
             self._take_in(outcome.record, request.lease, True, now)
         else:
             try:
-                is_verified = isinstance(request, Put) or request.sure
-                self._take_in(outcome.record, opened(outcome.record), is_verified, now)
+                is_verified = isinstance(request, WriteRecord) or request.is_verified
+                self._take_in(outcome.record, decode_lease(outcome.record), is_verified, now)
             except msgspec.MsgspecError:
                 # Something else is stored under this name: it must not be overwritten.
-                self.changes.append("its record cannot be read")
+                self.log_lines.append("its record cannot be read")
                 self.record_is_known = False
-                self.due = now + self.terms.wait
+                self.due = now + self.timings.takeover_wait_ms
                 return
         if self.epoch is not None and self.lease.attempt != self.sent_attempt:
             # Our last write was not chosen, and cannot be after this answer: it is repeated at once.
@@ -254,43 +261,43 @@
 
     def _next_due(self, now: float) -> float:
         if self.epoch is not None:
-            return min(self.sent_at + self.terms.renewal_interval_ms, self.until)
+            return min(self.sent_at + self.timings.renewal_interval_ms, self.lease_end)
         # No later than the duty is available: a duty that is handed over waits for a round trip, not for the
         # next poll.
         available_at = self.available_at(self.owned_count) if self.is_eligible else math.inf
-        return min(now + self.terms.look, max(now, available_at))
+        return min(now + self.timings.poll_interval_ms, max(now, available_at))
 
     def _take_in(self, record: Record, lease: Lease, is_verified: bool, now: float) -> None:
         """Takes in a record that was read or written."""
         if not self.record_is_known or record.writer != self.record.writer:
             if record.writer != self.record.writer:
-                self.since = now
+                self.record_seen_at = now
             self.record = record
             self.lease = lease
             self.record_is_known = True
         if lease.owner == self.owner_id and self.sent_attempt == lease.attempt:
             # Our last write was chosen: the lease counts from its sending, not from this answer. An
             # unverified read is not enough, as the record that it returns need not be chosen.
-            lease_end = self.sent_at + self.terms.lease_ms
+            lease_end = self.sent_at + self.timings.lease_ms
             if is_verified and self.epoch is None and now < lease_end:
                 # Completed steps stay completed: the write that records them may have failed just before.
                 self.epoch = lease.epoch
                 self.completed_step = max(self.completed_step, lease.progress)
-                self.heir = None
-                self.changes.append(f"owned from now on, epoch {lease.epoch}")
+                self.successor = None
+                self.log_lines.append(f"owned from now on, epoch {lease.epoch}")
             if is_verified and self.epoch == lease.epoch:
-                self.until = lease_end
+                self.lease_end = lease_end
         elif (
             is_verified
             and self.epoch is not None
             and (lease.owner != self.owner_id or lease.epoch != self.epoch)
         ):
-            self._lose("given up" if self.heir is not None else f"taken by {lease.owner or 'nobody'}")
+            self._lose("given up" if self.successor is not None else f"taken by {lease.owner or 'nobody'}")
 
     def _lose(self, reason: str) -> None:
-        self.changes.append(f"no longer owned, epoch {self.epoch}: {reason}")
+        self.log_lines.append(f"no longer owned, epoch {self.epoch}: {reason}")
         self.epoch = None
-        self.heir = None
+        self.successor = None
 
 
 def rebalance(
@@ -313,8 +320,8 @@
     others = [name for name in count if name != own_name]
     if not own_duties or not others:
         return None
-    heir = min(others, key=lambda name: (count[name], count_by_zone.get(zones.get(name, ""), 0), name))
-    return (own_duties[-1], heir) if len(own_duties) >= count[heir] + MIN_IMBALANCE else None
+    successor = min(others, key=lambda name: (count[name], count_by_zone.get(zones.get(name, ""), 0), name))
+    return (own_duties[-1], successor) if len(own_duties) >= count[successor] + MIN_IMBALANCE else None
 
 
 class Fence:
--- a/myrtlecrank/fleet/register/calls.py
+++ b/myrtlecrank/fleet/register/calls.py
@@ -9,44 +9,44 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from myrtlecrank.fleet.messages import Asked, Message, Voted
+from myrtlecrank.fleet.messages import Message, VoterReply, VoterRequest
 from myrtlecrank.fleet.register.caspaxos import Pause, Round, Voter
-from myrtlecrank.fleet.register.messages import Known, Rejoin, Seated, Vote
+from myrtlecrank.fleet.register.messages import Rejoin, RejoinAnswer, Vote, VoterSetNotice
 from myrtlecrank.fleet.register.voter_set import UNKNOWN_VOTER_SET
 
 T = TypeVar("T")
-Letter = Asked | Rejoin | Known | Seated  # the messages to a voter
+VoterMessage = VoterRequest | Rejoin | RejoinAnswer | VoterSetNotice  # the messages to a voter
 ProposerCall = Generator[Round | Pause, list[Vote], T]
 
 
-def replies(voter: Voter, messages: Iterable[tuple[str, Letter]]) -> list[tuple[str, Message]]:
+def answer_messages(voter: Voter, messages: Iterable[tuple[str, VoterMessage]]) -> list[tuple[str, Message]]:
     """The voter's answers, each with its receiver, to messages that arrived together, each with its sender.
 
     Votes are made durable by one write, as far as possible. A message in the name of another voter is
     ignored."""
     answers: list[tuple[str, Message]] = []
-    requests: list[tuple[str, Asked]] = []
+    requests: list[tuple[str, VoterRequest]] = []
     for sender, message in messages:
-        if isinstance(message, Asked):
+        if isinstance(message, VoterRequest):
             requests.append((sender, message))
-        elif isinstance(message, Seated):
+        elif isinstance(message, VoterSetNotice):
             # Requests that arrived before were made under the older voter set: they are answered first.
             answers += _votes(voter, requests)
             requests = []
-            voter.adopt_voter_set(message.roster)
+            voter.adopt_voter_set(message.voter_set)
         elif sender != message.voter:
             continue
-        elif isinstance(message, Known):
+        elif isinstance(message, RejoinAnswer):
             voter.accept_rejoin_answer(message)
         elif (answer := voter.answer_rejoin(message)) is not None:
             answers.append((sender, answer))
     return answers + _votes(voter, requests)
 
 
-def _votes(voter: Voter, requests: list[tuple[str, Asked]]) -> list[tuple[str, Message]]:
-    votes = voter.answer_batch((message.mark, message.ask) for _, message in requests)
+def _votes(voter: Voter, requests: list[tuple[str, VoterRequest]]) -> list[tuple[str, Message]]:
+    votes = voter.answer_batch((message.roster_mark, message.ask) for _, message in requests)
     return [
-        (sender, Voted(message.call, message.round, vote))
+        (sender, VoterReply(message.call, message.round, vote))
         for (sender, message), vote in zip(requests, votes, strict=True)
         if vote is not None
     ]
@@ -71,7 +71,9 @@
     `reply_timeout_ms` bounds each round; the attempts of its proposer bound a call. `send` sends a message to
     a voter."""
 
-    def __init__(self, reply_timeout_ms: float, send: Callable[[str, Asked | Seated], None]) -> None:
+    def __init__(
+        self, reply_timeout_ms: float, send: Callable[[str, VoterRequest | VoterSetNotice], None]
+    ) -> None:
         self.reply_timeout_ms = reply_timeout_ms
         self.send = send
         self.pending: dict[int, PendingCall] = {}
@@ -85,41 +87,41 @@
         self.pending[self.last_call_number] = pending
         self._advance(self.last_call_number, pending, None, now)
 
-    def heard(self, sender: str, voted: Voted, now: float) -> None:
+    def receive_vote(self, sender: str, reply: VoterReply, now: float) -> None:
         """Takes in a vote."""
-        vote = voted.vote
+        vote = reply.vote
         if sender != vote.voter:
             return  # a vote counts only for the voter that sent it
-        pending = self.pending.get(voted.call)
+        pending = self.pending.get(reply.call)
         round_: Round | None = None
         if (
             pending is not None
-            and voted.round == pending.round_number
+            and reply.round == pending.round_number
             and isinstance(pending.step, Round)
             and sender in pending.step.voter_names
         ):
             round_ = pending.step
-        if vote.roster is not None and vote.roster.number < self.newest_voter_set.number:
-            self._update_voter(sender, voted, pending if round_ is not None else None)
+        if vote.voter_set is not None and vote.voter_set.number < self.newest_voter_set.number:
+            self._update_voter(sender, reply, pending if round_ is not None else None)
         elif pending is not None and round_ is not None:
             pending.votes.setdefault(sender, vote)
             is_complete = len(pending.votes) == len(round_.voter_names)
             if round_.is_decided(pending.votes.values()) or is_complete:
-                self._advance(voted.call, pending, list(pending.votes.values()), now)
+                self._advance(reply.call, pending, list(pending.votes.values()), now)
 
-    def _update_voter(self, sender: str, voted: Voted, pending: PendingCall | None) -> None:
+    def _update_voter(self, sender: str, reply: VoterReply, pending: PendingCall | None) -> None:
         """Sends the newest voter set to a voter that has not heard of it, and repeats the request once a
         round.
 
         The voter set is sent even if the round is over: a voter that is slower than the others would
         otherwise never hear of it."""
         if pending is None or sender not in pending.updated_voters:
-            self.send(sender, Seated(self.newest_voter_set))
+            self.send(sender, VoterSetNotice(self.newest_voter_set))
         if pending is not None and isinstance(pending.step, Round) and sender not in pending.updated_voters:
             pending.updated_voters.add(sender)
             fingerprint = pending.step.voter_set.fingerprint()
             request = pending.step.request
-            self.send(sender, Asked(voted.call, pending.round_number, fingerprint, request))
+            self.send(sender, VoterRequest(reply.call, pending.round_number, fingerprint, request))
 
     def tick(self, now: float) -> None:
         """Resumes the calls whose round has timed out or whose pause is over."""
@@ -127,7 +129,7 @@
             if pending.due <= now:
                 self._advance(number, pending, list(pending.votes.values()), now)
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         """When tick() is to be called next; infinity if there is nothing to wait for."""
         return min((pending.due for pending in self.pending.values()), default=float("inf"))
 
@@ -151,4 +153,4 @@
         if voter_set.number > self.newest_voter_set.number:
             self.newest_voter_set = voter_set
         for voter in pending.step.voter_names:
-            self.send(voter, Asked(number, pending.round_number, fingerprint, pending.step.request))
+            self.send(voter, VoterRequest(number, pending.round_number, fingerprint, pending.step.request))
--- a/myrtlecrank/fleet/register/caspaxos.py
+++ b/myrtlecrank/fleet/register/caspaxos.py
@@ -14,23 +14,23 @@
     EMPTY_RECORD,
     Accept,
     AddVoter,
-    Ask,
     Ballot,
-    Known,
     ListKeys,
     Memory,
     Outcome,
     Prepare,
     Record,
     Rejoin,
+    RejoinAnswer,
     Result,
-    Seated,
     Slot,
     UnverifiedRead,
     Vote,
+    VoterOperation,
+    VoterSetNotice,
     check_size,
 )
-from myrtlecrank.fleet.register.voter_set import FOUNDING_NUMBER, Roster, guessed
+from myrtlecrank.fleet.register.voter_set import FOUNDING_NUMBER, VoterSet, configured_voter_set
 
 MAX_KEYS = 1024  # a voter writes its whole memory at each change
 # Above the number of times that a voter can lose its memory under one voter set.
@@ -69,32 +69,32 @@
         self.name = name
         self.persist = persist
         self.instance_id = instance_id
-        self.memory = memory or Memory(fleet, name, 0, {}, {}, guessed(configured_voters))
+        self.memory = memory or Memory(fleet, name, 0, {}, {}, configured_voter_set(configured_voters))
         self.memory_is_lost = memory is None  # no other voter may rejoin from this state
         # A single voter has nobody to ask.
         self.memory_is_trusted = memory_is_trusted or not self.others
-        self.voting = memory is not None and self.seated and self.memory_is_trusted
-        if not self.voting:
+        self.is_voting = memory is not None and self.is_current_voter and self.memory_is_trusted
+        if not self.is_voting:
             self.memory.boot += 1
-        self.heard: dict[str, Known] = {}  # answers to the present rejoin request
-        self.failed = False  # whether the last write failed
+        self.rejoin_answers: dict[str, RejoinAnswer] = {}  # answers to the present rejoin request
+        self.last_write_failed = False  # whether the last write failed
         self.times_added = 0
 
     @property
     def others(self) -> frozenset[str]:
         """The names of all other voters."""
-        return frozenset(self.memory.roster.names) - {self.name}
+        return frozenset(self.memory.voter_set.names) - {self.name}
 
     @property
-    def seated(self) -> bool:
+    def is_current_voter(self) -> bool:
         """Whether the newest known voter set includes this voter, with the memory that it has."""
         memory = self.memory
-        voter_set = memory.roster
-        return voter_set.includes(self.name, memory.seat) or (
+        voter_set = memory.voter_set
+        return voter_set.includes(self.name, memory.identity) or (
             self.memory_is_lost and self.name in voter_set.names
         )
 
-    def answer_batch(self, requests: Iterable[tuple[str, Ask]]) -> list[Vote | None]:
+    def answer_batch(self, requests: Iterable[tuple[str, VoterOperation]]) -> list[Vote | None]:
         """The votes on several requests, durable by one write.
 
         Each request comes with the fingerprint of the voter set under which it was made. The answer is None
@@ -110,14 +110,14 @@
         # Nothing is sent. The disk may hold the old or the new state; a later vote starts from the higher.
         return [None] * len(requests)
 
-    def _answer(self, fingerprint: str, request: Ask) -> Vote | None:
+    def _answer(self, fingerprint: str, request: VoterOperation) -> Vote | None:
         memory = self.memory
         slots = memory.slots
-        if fingerprint != memory.roster.fingerprint():
-            return self._vote(False, Ballot(), Slot(), memory.roster)
+        if fingerprint != memory.voter_set.fingerprint():
+            return self._vote(False, Ballot(), Slot(), memory.voter_set)
         if isinstance(request, AddVoter):
             return self._start_as_new_voter(request)
-        if not self.voting:
+        if not self.is_voting:
             return None
         if isinstance(request, ListKeys):
             return self._vote(True, Ballot(), Slot(), None, sorted(slots))
@@ -141,8 +141,8 @@
         once it has rejoined."""
         memory = self.memory
         if request.token != memory.token:
-            voter_set = memory.roster
-            is_needed = voter_set.includes(self.name, memory.seat) and not self.memory_is_lost
+            voter_set = memory.voter_set
+            is_needed = voter_set.includes(self.name, memory.identity) and not self.memory_is_lost
             if voter_set.number < FOUNDING_NUMBER or is_needed:
                 return None
             self.times_added += 1
@@ -151,93 +151,97 @@
             identity = f"{self.instance_id}:{self.times_added}"
             self.memory = Memory(memory.fleet, self.name, boot, {}, {}, voter_set, identity, request.token)
             self.memory_is_lost = False
-            self.voting = False
-            self.heard = {}
+            self.is_voting = False
+            self.rejoin_answers = {}
         return self._vote(True, Ballot(), Slot())
 
-    def adopt_voter_set(self, voter_set: Roster) -> bool:
+    def adopt_voter_set(self, voter_set: VoterSet) -> bool:
         """Uses a newer voter set that was chosen, once that is durable; True if it is newer and in use."""
         memory = self.memory
-        old = memory.roster
+        old = memory.voter_set
         if voter_set.number <= old.number:
             return False
-        memory.roster = voter_set
-        self.heard = {}
+        memory.voter_set = voter_set
+        self.rejoin_answers = {}
         if self.memory_is_lost:
             # Nothing is written: a file without the lost promises must never pass for a memory.
             return True
         if not self._write_memory():
-            memory.roster = old
+            memory.voter_set = old
             return False
         # A voter that was added for this voter set has nothing to learn from the others. That does not hold
         # if its memory may be an older copy.
         is_new_voter = (self.memory_is_trusted or self.times_added > 0) and not old.includes(
-            self.name, memory.seat
+            self.name, memory.identity
         )
-        self.voting = self.seated and (self.voting or is_new_voter)
+        self.is_voting = self.is_current_voter and (self.is_voting or is_new_voter)
         return True
 
-    def rejoin(self) -> Rejoin | None:
+    def rejoin_request(self) -> Rejoin | None:
         """The request to send to all other voters, repeatedly until voting; None if none is needed."""
-        return None if self.voting or not self.seated else Rejoin(self.name, self.memory.boot)
+        return None if self.is_voting or not self.is_current_voter else Rejoin(self.name, self.memory.boot)
 
-    def answer_rejoin(self, request: Rejoin) -> Known | Seated | None:
+    def answer_rejoin(self, request: Rejoin) -> RejoinAnswer | VoterSetNotice | None:
         """The answer to a voter that rejoins, after its boot number is durable here.
 
         None if this voter has lost its own memory, or the write fails. A requester that does not vote is told
         the voter set."""
-        if self.memory_is_lost or not self.seated:
-            return Seated(self.memory.roster) if self.memory.roster.number >= FOUNDING_NUMBER else None
+        if self.memory_is_lost or not self.is_current_voter:
+            return (
+                VoterSetNotice(self.memory.voter_set)
+                if self.memory.voter_set.number >= FOUNDING_NUMBER
+                else None
+            )
         if request.voter not in self.others:
-            return Seated(self.memory.roster)
+            return VoterSetNotice(self.memory.voter_set)
         previous_boot = self.memory.known_boots.get(request.voter, 0)
         if request.boot > previous_boot:
             self.memory.known_boots[request.voter] = request.boot
             if not self._write_memory():
                 return None
         memory = self.memory
-        return Known(
+        return RejoinAnswer(
             self.name,
             memory.boot,
             request.boot,
             previous_boot,
             memory.slots,
             memory.known_boots,
-            memory.roster,
+            memory.voter_set,
         )
 
-    def accept_rejoin_answer(self, answer: Known) -> bool:
+    def accept_rejoin_answer(self, answer: RejoinAnswer) -> bool:
         """Takes in an answer to the rejoin request; True once this voter votes again."""
         own = self.memory
-        if answer.roster.number > own.roster.number:
+        if answer.voter_set.number > own.voter_set.number:
             # The request goes to all voters of the newer voter set.
-            self.adopt_voter_set(answer.roster)
+            self.adopt_voter_set(answer.voter_set)
         if (
-            self.voting
-            or not self.seated
+            self.is_voting
+            or not self.is_current_voter
             or answer.voter not in self.others
             or answer.requested_boot != own.boot
         ):
-            return self.voting
-        if answer.previous_boot >= own.boot and answer.voter not in self.heard:
+            return self.is_voting
+        if answer.previous_boot >= own.boot and answer.voter not in self.rejoin_answers:
             # An earlier start may have voted under this boot number: restart the request above it.
             own.boot = answer.previous_boot + 1
-            self.heard = {}
+            self.rejoin_answers = {}
             return False
-        self.heard[answer.voter] = answer
-        if frozenset(self.heard) != self.others:
+        self.rejoin_answers[answer.voter] = answer
+        if frozenset(self.rejoin_answers) != self.others:
             return False
         self._merge_answers()
         if self.memory_is_lost:
-            own.seat = own.roster.seat(self.name) or ""
+            own.identity = own.voter_set.identity_of(self.name) or ""
         self.memory_is_lost = False
-        self.voting = self._write_memory()
-        return self.voting
+        self.is_voting = self._write_memory()
+        return self.is_voting
 
     def _merge_answers(self) -> None:
         """Raises this memory to the highest state in the answers of all other voters."""
         own = self.memory
-        for answer in self.heard.values():
+        for answer in self.rejoin_answers.values():
             for key, slot in answer.slots.items():
                 own_slot = own.slots.get(key, Slot())
                 highest = slot if slot.accepted > own_slot.accepted else own_slot
@@ -248,15 +252,15 @@
                     own.known_boots[name] = max(boot, own.known_boots.get(name, 0))
 
     def _write_memory(self) -> bool:
-        self.failed = not self.persist(self.memory)
-        return not self.failed
+        self.last_write_failed = not self.persist(self.memory)
+        return not self.last_write_failed
 
     def _vote(
         self,
         granted: bool,
         ballot: Ballot,
         slot: Slot,
-        voter_set: Roster | None = None,
+        voter_set: VoterSet | None = None,
         keys: Iterable[str] = (),
     ) -> Vote:
         memory = self.memory
@@ -268,7 +272,7 @@
             slot.accepted,
             slot.record,
             dict(memory.known_boots),
-            memory.seat,
+            memory.identity,
             voter_set,
             list(keys),
         )
@@ -293,8 +297,8 @@
 
     Whoever sends it resumes the call with the votes that arrived, at the latest after its own timeout."""
 
-    request: Ask
-    voter_set: Roster
+    request: VoterOperation
+    voter_set: VoterSet
     single_voter: str = ""
 
     @property
@@ -330,33 +334,33 @@
 class Proposer:
     """Reads and changes records through the voters.
 
-    `proposer_id` is new with each start; `random_fraction` returns a number from 0 to 1. `roster` is the
+    `proposer_id` is new with each start; `random_fraction` returns a number from 0 to 1. `voter_set` is the
     newest voter set that the proposer knows to be chosen. Both rounds of an attempt use the same voter set;
     voters that know a newer one say so, and the attempt restarts under that."""
 
     def __init__(
         self,
         proposer_id: str,
-        voter_set: Roster,
+        voter_set: VoterSet,
         random_fraction: Callable[[], float],
         max_attempts: int = 8,
         backoff_ms: float = 20.0,
     ) -> None:
         self.proposer_id = proposer_id
-        self.roster = voter_set
+        self.voter_set = voter_set
         self.random_fraction = random_fraction
         self.max_attempts = max_attempts
         self.backoff_ms = backoff_ms
         self.ballot_number = 0
         self.call_count = 0
         # A different voter set of the same number: the voters were founded with different lists.
-        self.unlike: Roster | None = None
+        self.conflicting_voter_set: VoterSet | None = None
 
-    def seated(self, voter_set: Roster) -> bool:
+    def adopt_voter_set(self, voter_set: VoterSet) -> bool:
         """Uses a voter set that was chosen, if it is newer; True if it is."""
-        is_newer = voter_set.number > self.roster.number
+        is_newer = voter_set.number > self.voter_set.number
         if is_newer:
-            self.roster = voter_set
+            self.voter_set = voter_set
         return is_newer
 
     def read(self, key: str) -> Call:
@@ -368,12 +372,12 @@
         check_size(key)
         return self._propose(key, None, b"")
 
-    def glance(self, key: str) -> Call:
+    def read_unverified(self, key: str) -> Call:
         """An unverified read: one round without a flush; the record of the highest ballot in a majority."""
         check_size(key)
         votes = yield from self.query_majority(UnverifiedRead(key))
         if votes is None:
-            return Outcome(Result.AWAY)
+            return Outcome(Result.UNAVAILABLE)
         return Outcome(Result.DONE, max(votes, key=lambda vote: vote.accepted).record)
 
     def query_majority(
@@ -383,14 +387,14 @@
 
         The round is repeated if a voter knows a newer voter set."""
         while True:
-            round_ = Round(request, self.roster)
+            round_ = Round(request, self.voter_set)
             votes = yield round_
             if round_.has_quorum(votes):
                 return valid_grants(votes)
             if not self._learn_from_refusals(votes):
                 return None
 
-    def change(self, key: str, expected: Record, value: bytes) -> Call:
+    def compare_and_set(self, key: str, expected: Record, value: bytes) -> Call:
         """A compare-and-set: sets the value if `expected` is the current record."""
         check_size(key, value)
         return self._propose(key, expected, value)
@@ -411,7 +415,7 @@
                     yield self.backoff(min(attempt, MAX_BACKOFF_FACTOR))
             self.ballot_number += 1
             ballot = Ballot(self.ballot_number, self.proposer_id)
-            voter_set = self.roster
+            voter_set = self.voter_set
             round_ = Round(Prepare(key, ballot), voter_set)
             votes = yield round_
             knows_newer_voter_set = self._learn_from_refusals(votes)
@@ -433,7 +437,7 @@
             knows_newer_voter_set = self._learn_from_refusals(votes)
             if round_.has_quorum(votes):
                 return Outcome(Result.CONFLICT if is_conflict else Result.DONE, record)
-        return Outcome(Result.UNKNOWN if has_proposed else Result.AWAY, EMPTY_RECORD)
+        return Outcome(Result.UNKNOWN if has_proposed else Result.UNAVAILABLE, EMPTY_RECORD)
 
     def backoff(self, factor: int) -> Pause:
         """A pause of `factor` times the back-off, with random jitter."""
@@ -443,9 +447,9 @@
         """Takes over higher ballot numbers and newer voter sets; True if there is a newer voter set."""
         refusals = [vote for vote in votes if not vote.granted]
         self.ballot_number = max([self.ballot_number, *(vote.ballot.number for vote in refusals)])
-        voter_sets = [vote.roster for vote in refusals if vote.roster is not None]
+        voter_sets = [vote.voter_set for vote in refusals if vote.voter_set is not None]
         for voter_set in voter_sets:
-            is_same_number = voter_set.number == self.roster.number >= FOUNDING_NUMBER
-            if is_same_number and voter_set.fingerprint() != self.roster.fingerprint():
-                self.unlike = voter_set
-        return any([self.seated(voter_set) for voter_set in voter_sets])
+            is_same_number = voter_set.number == self.voter_set.number >= FOUNDING_NUMBER
+            if is_same_number and voter_set.fingerprint() != self.voter_set.fingerprint():
+                self.conflicting_voter_set = voter_set
+        return any([self.adopt_voter_set(voter_set) for voter_set in voter_sets])
--- a/myrtlecrank/fleet/register/disk.py
+++ b/myrtlecrank/fleet/register/disk.py
@@ -41,7 +41,7 @@
         return Memory(self.fleet, self.voter, self.boot, self.slots, self.known_boots, voter_set)
 
 
-class TornError(Exception):
+class UnusableFileError(Exception):
     """The file exists and is not usable; the text says why in one line."""
 
 
@@ -52,28 +52,28 @@
 
 
 def decode(raw: bytes) -> Memory:
-    """The memory in the content of a file. Raises TornError if it is not usable."""
+    """The memory in the content of a file. Raises UnusableFileError if it is not usable."""
     if len(raw) < HEADER.size:
-        raise TornError(f"is {len(raw)} bytes long, shorter than its header of {HEADER.size}")
+        raise UnusableFileError(f"is {len(raw)} bytes long, shorter than its header of {HEADER.size}")
     magic, version, length, digest = HEADER.unpack_from(raw)
     body = raw[HEADER.size :]
     if magic != MAGIC:
-        raise TornError(f"is no voter's memory: it begins with {magic!r}, not {MAGIC!r}")
+        raise UnusableFileError(f"is no voter's memory: it begins with {magic!r}, not {MAGIC!r}")
     if version not in (FORMAT_VERSION, PREVIOUS_FORMAT_VERSION):
-        raise TornError(
+        raise UnusableFileError(
             f"has version {version}; this program reads {FORMAT_VERSION} and {PREVIOUS_FORMAT_VERSION}"
         )
     if length != len(body) or xxhash.xxh3_128_digest(body) != digest:
-        raise TornError("is torn: its length or its checksum does not match its header")
+        raise UnusableFileError("is torn: its length or its checksum does not match its header")
     try:
         if version == PREVIOUS_FORMAT_VERSION:
             return msgspec.msgpack.decode(body, type=MemoryVersion1).upgraded()
         return msgspec.msgpack.decode(body, type=Memory)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise TornError(f"does not hold a voter's state: {error}") from None
+        raise UnusableFileError(f"does not hold a voter's state: {error}") from None
 
 
-class Disk:
+class VoterFile:
     """The file of one voter. `folder` must last over restarts and be on one file system, as a rename ends
     each write."""
 
@@ -84,19 +84,19 @@
         self.voter = voter
 
     def load(self) -> Memory | None:
-        """The stored memory; None if there is no file. Raises TornError if the file is not usable."""
+        """The stored memory; None if there is no file. Raises UnusableFileError if the file is not usable."""
         try:
             with open(self.path, "rb") as file:
                 raw = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return None
         except OSError as error:
-            raise TornError(f"cannot be read: {error.strerror}") from None
+            raise UnusableFileError(f"cannot be read: {error.strerror}") from None
         if len(raw) > MAX_FILE_BYTES:
-            raise TornError(f"is longer than {MAX_FILE_BYTES} bytes")
+            raise UnusableFileError(f"is longer than {MAX_FILE_BYTES} bytes")
         memory = decode(raw)
         if (memory.fleet, memory.voter) != (self.fleet, self.voter):
-            raise TornError(f"belongs to voter {memory.voter!r} of fleet {memory.fleet!r}")
+            raise UnusableFileError(f"belongs to voter {memory.voter!r} of fleet {memory.fleet!r}")
         return memory
 
     def save(self, memory: Memory) -> bool:
@@ -126,7 +126,7 @@
             return False
         return True
 
-    def found(self, voters: Iterable[str]) -> None:
+    def create(self, voters: Iterable[str]) -> None:
         """Writes the first, empty memory of a voter of a new fleet.
 
         Only an operator calls for this: a voter that made a new memory by itself after a loss would break its
