--- a/myrtlecrank/fleet/register/messages.py
+++ b/myrtlecrank/fleet/register/messages.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct, field
 
-from myrtlecrank.fleet.register.voter_set import UNKNOWN_VOTER_SET, Roster
+from myrtlecrank.fleet.register.voter_set import UNKNOWN_VOTER_SET, VoterSet
 
 MAX_KEY_CHARACTERS = 200
 MAX_VALUE_BYTES = 4096  # a voter keeps all records in memory
@@ -77,15 +77,15 @@
     token: str
 
 
-Ask = Prepare | Accept | UnverifiedRead | ListKeys | AddVoter
+VoterOperation = Prepare | Accept | UnverifiedRead | ListKeys | AddVoter
 
 
 class Vote(Struct, frozen=True, tag=True, omit_defaults=True):
     """A voter's answer.
 
-    If `granted` is false, `ballot` is the higher ballot that the voter has promised, or `roster` is the voter
-    set that it uses if the request was made under another one. `known_boots` is the highest boot number that
-    the voter knows of each other voter (see Voter)."""
+    If `granted` is false, `ballot` is the higher ballot that the voter has promised, or `voter_set` is the
+    voter set that it uses if the request was made under another one. `known_boots` is the highest boot number
+    that the voter knows of each other voter (see Voter)."""
 
     voter: str
     boot: int
@@ -95,7 +95,7 @@
     record: Record = EMPTY_RECORD
     known_boots: dict[str, int] = field(default_factory=dict, name="boots")
     identity: str = field(default="", name="seat")
-    roster: Roster | None = field(default=None, name="roster")
+    voter_set: VoterSet | None = field(default=None, name="roster")
     keys: list[str] = []
 
 
@@ -117,7 +117,7 @@
     boot: int
 
 
-class Known(Struct, frozen=True, tag="Known"):
+class RejoinAnswer(Struct, frozen=True, tag="Known"):
     """Answer to Rejoin: the whole state of a voter.
 
     `requested_boot` is the boot number in the request, `previous_boot` the highest boot number of the
@@ -129,28 +129,28 @@
     previous_boot: int = field(name="before")
     slots: dict[str, Slot]
     known_boots: dict[str, int] = field(name="boots")
-    roster: Roster = field(default=UNKNOWN_VOTER_SET, name="roster")
+    voter_set: VoterSet = field(default=UNKNOWN_VOTER_SET, name="roster")
 
 
-class Seated(Struct, frozen=True, tag="Seated"):
+class VoterSetNotice(Struct, frozen=True, tag="Seated"):
     """A voter set that was chosen, sent to a member that uses an older one."""
 
-    roster: Roster = field(name="roster")
+    voter_set: VoterSet = field(name="roster")
 
 
 class Memory(Struct):
     """The state that a voter must not forget. It is durable before any message that depends on it is sent.
 
-    `roster` is the newest voter set that the voter has heard of. `seat` is the voter's own identity, empty
-    for the founding voters. `token` is that of the last request by which it was added."""
+    `voter_set` is the newest voter set that the voter has heard of. `identity` is the voter's own identity,
+    empty for the founding voters. `token` is that of the last request by which it was added."""
 
     fleet: str
     voter: str
     boot: int
     slots: dict[str, Slot]
     known_boots: dict[str, int] = field(name="boots")
-    roster: Roster = field(default=UNKNOWN_VOTER_SET, name="roster")
-    seat: str = field(default="", name="seat")
+    voter_set: VoterSet = field(default=UNKNOWN_VOTER_SET, name="roster")
+    identity: str = field(default="", name="seat")
     token: str = ""
 
 
@@ -160,7 +160,7 @@
     DONE = "done"  # the change was chosen
     CONFLICT = "conflict"  # another version was chosen; nothing of this call was proposed
     UNKNOWN = "unknown"  # the change may be chosen now, later or never: read again
-    AWAY = "away"  # no majority answered, and nothing of this call was proposed
+    UNAVAILABLE = "away"  # no majority answered, and nothing of this call was proposed
 
 
 class Outcome(Struct, frozen=True):
@@ -177,14 +177,14 @@
     Each call blocks for a bounded time, and raises ValueError if the key or the value is too long."""
 
     def read(self, key: str) -> Outcome:
-        """DONE with the record that was current at some instant between call and return, else AWAY."""
+        """DONE with the record that was current at some instant between call and return, else UNAVAILABLE."""
 
-    def glance(self, key: str) -> Outcome:
+    def read_unverified(self, key: str) -> Outcome:
         """A cheap read: DONE with a record that somebody wrote or tried to write before the return.
 
         The record may be old, and may never have been chosen; only a change over it tells."""
 
-    def change(self, key: str, expected: Record, value: bytes) -> Outcome:
+    def compare_and_set(self, key: str, expected: Record, value: bytes) -> Outcome:
         """Sets the value atomically if `expected` is the current record; the version then grows by one.
 
         Records are compared by their writer, as two calls may have proposed records of one version."""
--- a/myrtlecrank/fleet/register/reconfiguration.py
+++ b/myrtlecrank/fleet/register/reconfiguration.py
@@ -18,7 +18,7 @@
 
 from myrtlecrank.fleet.register.caspaxos import Pause, Proposer, Round
 from myrtlecrank.fleet.register.messages import VOTER_SET_KEY, AddVoter, ListKeys, Record, Result, Vote
-from myrtlecrank.fleet.register.voter_set import Roster
+from myrtlecrank.fleet.register.voter_set import VoterSet
 
 MAX_ATTEMPTS = 8
 ADD_VOTER_ATTEMPTS = 3
@@ -26,25 +26,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reseated:
+class ReconfigurationResult:
     """How a change ended: the current voter set as far as is known, and one line on what is wrong, empty if
     nothing is."""
 
-    voter_set: Roster
-    wrong: str = ""
+    voter_set: VoterSet
+    error: str = ""
 
 
-ReconfigurationCall = Generator[Round | Pause, list[Vote], Reseated]
+ReconfigurationCall = Generator[Round | Pause, list[Vote], ReconfigurationResult]
 
 
-def decode_voter_set(record: Record, founding: Roster) -> Roster:
+def decode_voter_set(record: Record, founding: VoterSet) -> VoterSet:
     """The voter set in the record VOTER_SET_KEY; `founding` if nobody has changed it yet.
 
     Raises msgspec.MsgspecError if the record holds something else."""
-    return msgspec.msgpack.decode(record.value, type=Roster) if record.version else founding
+    return msgspec.msgpack.decode(record.value, type=VoterSet) if record.version else founding
 
 
-def reseat(proposer: Proposer, drop: Iterable[str], add: Iterable[str], token: str) -> ReconfigurationCall:
+def reconfigure(
+    proposer: Proposer, drop: Iterable[str], add: Iterable[str], token: str
+) -> ReconfigurationCall:
     """Drops and adds these voters; with neither, completes a change that is under way.
 
     A voter that is both dropped and added starts anew, with an empty memory. `token` differs from that of any
@@ -57,36 +59,40 @@
             yield proposer.backoff(attempt)
         outcome = yield from proposer.read(VOTER_SET_KEY)
         if outcome.result is not Result.DONE:
-            return Reseated(proposer.roster, NO_MAJORITY)
+            return ReconfigurationResult(proposer.voter_set, NO_MAJORITY)
         try:
-            voter_set = decode_voter_set(outcome.record, proposer.roster)
+            voter_set = decode_voter_set(outcome.record, proposer.voter_set)
         except msgspec.MsgspecError as error:
-            return Reseated(proposer.roster, f"the record of the voters cannot be decoded: {error}")
-        proposer.seated(voter_set)
-        if voter_set.joint:
+            return ReconfigurationResult(
+                proposer.voter_set, f"the record of the voters cannot be decoded: {error}"
+            )
+        proposer.adopt_voter_set(voter_set)
+        if voter_set.is_joint:
             yield from complete_reconfiguration(proposer, outcome.record, voter_set)
             continue
         if _is_applied(voter_set, drop, add, identities):
             # A second read has a majority adopt the voter set before the change is reported as done.
             yield from proposer.read(VOTER_SET_KEY)
-            return Reseated(voter_set)
+            return ReconfigurationResult(voter_set)
         try:
             voter_set.begin_change(drop, dict.fromkeys(add, "?"))
         except ValueError as error:
-            return Reseated(voter_set, str(error))
+            return ReconfigurationResult(voter_set, str(error))
         wrong = yield from _add_voters(proposer, voter_set, add, token, identities)
         if wrong:
-            return Reseated(voter_set, wrong)
+            return ReconfigurationResult(voter_set, wrong)
         joint = voter_set.begin_change(drop, {name: identities[name] for name in add})
-        changed = yield from proposer.change(VOTER_SET_KEY, outcome.record, msgspec.msgpack.encode(joint))
+        changed = yield from proposer.compare_and_set(
+            VOTER_SET_KEY, outcome.record, msgspec.msgpack.encode(joint)
+        )
         if changed.result is Result.DONE:
-            proposer.seated(joint)
+            proposer.adopt_voter_set(joint)
             yield from complete_reconfiguration(proposer, changed.record, joint)
     wrong = "others change the voters too, or the register answers too rarely: check and try again"
-    return Reseated(proposer.roster, wrong)
+    return ReconfigurationResult(proposer.voter_set, wrong)
 
 
-def _is_applied(voter_set: Roster, drop: list[str], add: list[str], identities: dict[str, str]) -> bool:
+def _is_applied(voter_set: VoterSet, drop: list[str], add: list[str], identities: dict[str, str]) -> bool:
     """Whether a voter set that is not joint has this change already: each added voter under the identity that
     it got here, and none of the dropped ones under another."""
     (current,) = voter_set.sets
@@ -98,7 +104,7 @@
 
 
 def _add_voters(
-    proposer: Proposer, voter_set: Roster, add: Iterable[str], token: str, identities: dict[str, str]
+    proposer: Proposer, voter_set: VoterSet, add: Iterable[str], token: str, identities: dict[str, str]
 ) -> Generator[Round | Pause, list[Vote], str]:
     """Has each added voter start anew and notes its identity; one line on what is wrong, or an empty one."""
     for name in add:
@@ -118,12 +124,12 @@
 
 
 def complete_reconfiguration(
-    proposer: Proposer, record: Record, joint: Roster
+    proposer: Proposer, record: Record, joint: VoterSet
 ) -> Generator[Round | Pause, list[Vote], bool]:
     """Moves from the joint configuration in this record to the voter set that follows it; True once that is
     chosen."""
     votes = yield from proposer.query_majority(ListKeys())
-    if votes is None or proposer.roster != joint:
+    if votes is None or proposer.voter_set != joint:
         return False
     for key in sorted({VOTER_SET_KEY}.union(*(vote.keys for vote in votes))):
         # The read writes the record once more, under the joint configuration.
@@ -131,7 +137,7 @@
         if read.result is not Result.DONE:
             return False
     new = joint.complete_change()
-    changed = yield from proposer.change(VOTER_SET_KEY, record, msgspec.msgpack.encode(new))
+    changed = yield from proposer.compare_and_set(VOTER_SET_KEY, record, msgspec.msgpack.encode(new))
     if changed.result is not Result.DONE:
         return False
-    return proposer.seated(new)
+    return proposer.adopt_voter_set(new)
--- a/myrtlecrank/fleet/register/sqlite.py
+++ b/myrtlecrank/fleet/register/sqlite.py
@@ -47,11 +47,11 @@
         try:
             return Outcome(Result.DONE, self._current(key))
         except sqlite3.Error:
-            return Outcome(Result.AWAY)
+            return Outcome(Result.UNAVAILABLE)
 
-    glance = read
+    read_unverified = read
 
-    def change(self, key: str, expected: Record, value: bytes) -> Outcome:
+    def compare_and_set(self, key: str, expected: Record, value: bytes) -> Outcome:
         """See Register.change."""
         check_size(key, value)
         self.call_count += 1
@@ -70,7 +70,7 @@
             with contextlib.suppress(sqlite3.Error):
                 self.connection.execute("ROLLBACK")
             # A commit that failed may have reached the file.
-            return Outcome(Result.UNKNOWN if committing else Result.AWAY)
+            return Outcome(Result.UNKNOWN if committing else Result.UNAVAILABLE)
         return Outcome(Result.DONE, record)
 
     def _current(self, key: str) -> Record:
--- a/myrtlecrank/fleet/register/voter_set.py
+++ b/myrtlecrank/fleet/register/voter_set.py
@@ -16,7 +16,7 @@
 FOUNDING_NUMBER = 0
 
 
-class Roster(Struct, frozen=True):
+class VoterSet(Struct, frozen=True):
     """A numbered voter set.
 
     `number` grows by one with each change. `sets` maps each voter's name to its identity; it holds one map,
@@ -35,7 +35,7 @@
         return tuple(sorted({name for voters in self.sets for name in voters}))
 
     @property
-    def joint(self) -> bool:
+    def is_joint(self) -> bool:
         """Whether this is a joint configuration."""
         return len(self.sets) > 1
 
@@ -44,7 +44,7 @@
         encoded = msgspec.msgpack.encode([sorted(voters.items()) for voters in self.sets])
         return f"{self.number}:{xxhash.xxh3_64_hexdigest(encoded)}"
 
-    def seat(self, name: str) -> str | None:
+    def identity_of(self, name: str) -> str | None:
         """The newest identity of a voter; None if it has none."""
         return next((voters[name] for voters in reversed(self.sets) if name in voters), None)
 
@@ -64,12 +64,12 @@
             )
         )
 
-    def begin_change(self, drop: Iterable[str], add: dict[str, str]) -> Roster:
+    def begin_change(self, drop: Iterable[str], add: dict[str, str]) -> VoterSet:
         """The joint configuration that drops and adds these voters; `add` maps names to identities.
 
         Raises ValueError, with one line for the operator, if the change is not possible."""
         drop = set(drop)
-        if self.joint:
+        if self.is_joint:
             raise ValueError("a change of voters is under way already")
         (current,) = self.sets
         if unknown := sorted(drop - current.keys()):
@@ -79,24 +79,24 @@
         new = {name: identity for name, identity in current.items() if name not in drop} | add
         if len(new) % 2 == 0:
             raise ValueError(f"there would be {len(new)} voters; an odd number is wanted")
-        return Roster(self.number + 1, (current, new))
+        return VoterSet(self.number + 1, (current, new))
 
-    def complete_change(self) -> Roster:
+    def complete_change(self) -> VoterSet:
         """The voter set that follows this joint configuration: the new voters alone."""
-        return Roster(self.number + 1, self.sets[-1:])
+        return VoterSet(self.number + 1, self.sets[-1:])
 
 
-UNKNOWN_VOTER_SET = Roster()
+UNKNOWN_VOTER_SET = VoterSet()
 
 
-def guessed(names: Iterable[str]) -> Roster:
+def configured_voter_set(names: Iterable[str]) -> VoterSet:
     """The voters in the operators' file: whom to ask first which voter set was chosen."""
-    return Roster(UNKNOWN_NUMBER, (dict.fromkeys(sorted(names), ""),))
+    return VoterSet(UNKNOWN_NUMBER, (dict.fromkeys(sorted(names), ""),))
 
 
-def founding_voter_set(names: Iterable[str]) -> Roster:
+def founding_voter_set(names: Iterable[str]) -> VoterSet:
     """The first voter set of a fleet. Raises ValueError if the number of voters is even."""
     voters = dict.fromkeys(sorted(names), "")
     if len(voters) % 2 == 0:
         raise ValueError(f"expected an odd number of voters, found {len(voters)}")
-    return Roster(FOUNDING_NUMBER, (voters,))
+    return VoterSet(FOUNDING_NUMBER, (voters,))
--- a/myrtlecrank/fleet/step_scheduler.py
+++ b/myrtlecrank/fleet/step_scheduler.py
@@ -77,7 +77,7 @@
                 continue
             if progress.expires_at is not None:
                 dues.append(progress.expires_at)
-            elif duty.recorded() >= progress.step and not is_full:
+            elif duty.recorded_step() >= progress.step and not is_full:
                 dues.append(progress.due)
         return min(dues)
 
@@ -96,18 +96,18 @@
                     progress.step -= 1
                 continue
             if progress.epoch != epoch:
-                self.progress[name] = progress = DutyProgress(epoch, now, duty.recorded())
+                self.progress[name] = progress = DutyProgress(epoch, now, duty.recorded_step())
             if progress.expires_at is not None:
                 if now >= progress.expires_at:
                     self._schedule_retry(schedule, progress, now)
-            elif now >= progress.due and duty.recorded() >= progress.step:
+            elif now >= progress.due and duty.recorded_step() >= progress.step:
                 ready.append((progress.due, name))
         started = []
         for _, name in sorted(ready)[: max(0, self.max_concurrent - self._running_steps())]:
             progress = self.progress[name]
             progress.step += 1
             progress.started_at = now
-            progress.expires_at = min(now + self.schedules[name].deadline_ms, self.duties[name].until)
+            progress.expires_at = min(now + self.schedules[name].deadline_ms, self.duties[name].lease_end)
             started.append(Effect(name, progress.epoch, progress.step, progress.expires_at))
         return started
 
--- a/myrtlecrank/membership_list/client.py
+++ b/myrtlecrank/membership_list/client.py
@@ -9,7 +9,7 @@
 from gevent import socket
 from loguru import logger
 
-from myrtlecrank.core.connection_errors import End, of_error
+from myrtlecrank.core.connection_errors import CloseReason, reason_of_error
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.frames.ring_buffer import RingBuffer
 
@@ -36,7 +36,7 @@
             self.status = self.parser.get_status_code()
 
 
-class Roll:
+class MembershipListClient:
     """Sends the reports of one backend, one at a time and over one connection while that lasts."""
 
     def __init__(self, address: tuple[str, int], name: str) -> None:
@@ -45,7 +45,7 @@
         self.mailbox: Mailbox[bool] = Mailbox(MAILBOX_MESSAGES)
         self.is_healthy: bool | None = None  # None before the start, when nothing is reported
         self.due_at_ms = float("inf")  # monotonic; when the next report is due
-        self.told: bool | None = None  # the health that was last reported; None if none or unknown
+        self.last_reported: bool | None = None  # the health that was last reported; None if none or unknown
         self.sock: socket.socket | None = None
         self.report_in_progress: bool | None = None  # the health that is being reported
         self.is_report_sent = False  # the report in progress was written whole
@@ -60,7 +60,7 @@
             interval_ms = REPORT_INTERVAL_MS if succeeded else RETRY_INTERVAL_MS
             self.due_at_ms = time.monotonic() * 1000.0 + interval_ms
 
-    def tell(self, is_healthy: bool) -> None:
+    def report_change(self, is_healthy: bool) -> None:
         """Reports a change of health at once.
 
         If a report of the opposite is in progress its answer is no longer awaited, as it may never come.
@@ -69,16 +69,16 @@
         if self.report_in_progress is not None and self.report_in_progress is not is_healthy:
             self._close()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Leaves the old address at once and reports to the new one."""
         if address == self.address:
             return
-        self.address, self.told = address, None
+        self.address, self.last_reported = address, None
         self._close()
         if self.is_healthy is not None and not self.mailbox:
             self.mailbox.post(self.is_healthy)
 
-    def beat(self, _: float) -> None:
+    def report_if_due(self, _: float) -> None:
         """Repeats the report when it is due.
 
         Called on the core's sampling tick: if that stops, the entry lapses, as it should.
@@ -93,20 +93,23 @@
         self.is_report_sent = False
         try:
             with gevent.Timeout(REPORT_TIMEOUT_S, TimeoutError):
-                end = self._send_report(is_healthy)
-                if end in (End.CLOSED, End.RESET) and not is_new_connection:
-                    end = self._send_report(is_healthy)  # the list had closed the idle connection
+                reason = self._send_report(is_healthy)
+                if (
+                    reason in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER)
+                    and not is_new_connection
+                ):
+                    reason = self._send_report(is_healthy)  # the list had closed the idle connection
         except TimeoutError:
             self._close()
-            end = End.SILENT
+            reason = CloseReason.UNRESPONSIVE
         self.report_in_progress = None
-        if end is not End.LEFT:
-            self._count_misses(end)
-        if end is None or (end is End.SILENT and self.is_report_sent):
-            self.told = is_healthy  # a report that was sent whole counts without its answer
-        return end is None
+        if reason is not CloseReason.CLOSED_LOCALLY:
+            self._count_misses(reason)
+        if reason is None or (reason is CloseReason.UNRESPONSIVE and self.is_report_sent):
+            self.last_reported = is_healthy  # a report that was sent whole counts without its answer
+        return reason is None
 
-    def _send_report(self, is_healthy: bool) -> End | None:
+    def _send_report(self, is_healthy: bool) -> CloseReason | None:
         """Sends a report and reads the answer. Returns None on success, else how the connection ended."""
         body = b'{"phase":"%b"}' % (b"UP" if is_healthy else b"OUT")
         head = f"PUT /members/{self.name} HTTP/1.1\r\nHost: members\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -129,18 +132,18 @@
                 count = sock.recv_into(incoming.writable_view())
                 if not count:
                     self._close()
-                    return End.CLOSED
+                    return CloseReason.CLOSED_BY_PEER
                 incoming.mark_written(count)
                 response.parser.feed_data(incoming.read(count))
             if not response.parser.should_keep_alive():
                 self._close()
-            return None if response.status == HTTP_NO_CONTENT else End.BROKEN
+            return None if response.status == HTTP_NO_CONTENT else CloseReason.PROTOCOL_ERROR
         except OSError as error:
             self._close()
-            return of_error(error)
+            return reason_of_error(error)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._close()
-            return End.BROKEN
+            return CloseReason.PROTOCOL_ERROR
 
     def _is_stale(self, sock: socket.socket) -> bool:
         """Whether an idle connection has ended or holds input.
@@ -161,15 +164,15 @@
             self.sock.close()
             self.sock = None
 
-    def _count_misses(self, end: End | None) -> None:
+    def _count_misses(self, reason: CloseReason | None) -> None:
         """Logs once when the membership list becomes unreachable and once when it answers again.
 
         A single report without an answer is normal and not logged.
         """
-        self.missed_reports = 0 if end is None else self.missed_reports + 1
-        if end is not None and self.missed_reports == LOGGED_MISSES:
-            logger.warning("the membership list: {}", end.value)
+        self.missed_reports = 0 if reason is None else self.missed_reports + 1
+        if reason is not None and self.missed_reports == LOGGED_MISSES:
+            logger.warning("the membership list: {}", reason.value)
             self.is_unreachable = True
-        elif end is None and self.is_unreachable:
+        elif reason is None and self.is_unreachable:
             logger.info("the membership list answers again")
             self.is_unreachable = False
--- a/myrtlecrank/operators/file.py
+++ b/myrtlecrank/operators/file.py
@@ -15,12 +15,12 @@
 MAX_FILE_BYTES = 1_000_000  # a longer file is no operators' file, and reading it would fill the memory
 # The dataclass that a section is read into, and a function that lists its contradictions.
 SectionDefinition = tuple[type[Any], Callable[[Any], list[str]]]
-# By section name. A string is the path of a module that has the definition as `Bounds` and `contradictions`;
-# it is imported only when the section is needed.
+# By section name. A string is the path of a module that has the definition as `FleetOptions` and
+# `contradictions`; it is imported only when the section is needed.
 SectionDefinitions = Mapping[str, SectionDefinition | str]
 
 
-class OperatorsError(Exception):
+class OperatorsFileError(Exception):
     """The operators' file is missing or invalid; the text has a line for each mistake."""
 
     def __init__(self, path: str, mistakes: list[str]) -> None:
@@ -33,7 +33,7 @@
     definition = definitions[name]
     if isinstance(definition, str):
         module = import_module(definition)
-        return module.Bounds, module.contradictions
+        return module.FleetOptions, module.contradictions
     return definition
 
 
@@ -45,18 +45,18 @@
 
 
 def load_sections(path: str, definitions: SectionDefinitions) -> dict[str, Any]:
-    """The sections of the file by name, each as an instance of its dataclass. Raises OperatorsError."""
+    """The sections of the file by name, each as an instance of its dataclass. Raises OperatorsFileError."""
     try:
         with open(path, "rb") as file:
             content = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise OperatorsError(path, [f"cannot be read: {error.strerror}"]) from None
+        raise OperatorsFileError(path, [f"cannot be read: {error.strerror}"]) from None
     if len(content) > MAX_FILE_BYTES:
-        raise OperatorsError(path, [f"is longer than {MAX_FILE_BYTES} bytes"])
+        raise OperatorsFileError(path, [f"is longer than {MAX_FILE_BYTES} bytes"])
     try:
         tables = tomllib.loads(content.decode("utf-8-sig"))
     except (ValueError, RecursionError) as error:
-        raise OperatorsError(path, [f"is not TOML: {error}"]) from None
+        raise OperatorsFileError(path, [f"is not TOML: {error}"]) from None
     mistakes: list[str] = []
     sections: dict[str, Any] = {}
     for name, table in tables.items():
@@ -69,5 +69,5 @@
             mistakes += [f"[{name}] {mistake}" for mistake in contradictions(section)]
             sections[name] = section
     if mistakes:
-        raise OperatorsError(path, mistakes)
+        raise OperatorsFileError(path, mistakes)
     return sections
--- a/myrtlecrank/operators/sections.py
+++ b/myrtlecrank/operators/sections.py
@@ -1,8 +1,8 @@
 """Typed reading of one section of the operators' file.
 
 A package declares its section as a frozen dataclass, with a field for each option. The metadata of a field
-says which values are allowed and what the option means; `figure`, `words` and `table` make such fields.
-"""
+says which values are allowed and what the option means; `scalar_option`, `text_option` and `table_option`
+make such fields."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 MIN_NAME_SIMILARITY = 0.5  # from which a known name is suggested for an unknown one
 
 
-def figure(default: Any, least: float = -math.inf, most: float = math.inf, what: str = "") -> Any:
+def scalar_option(default: Any, least: float = -math.inf, most: float = math.inf, what: str = "") -> Any:
     """A field that holds a number or a flag: its default, the least and the most that is allowed, and a short
     description."""
     return field(default=default, metadata={"least": least, "most": most, "what": what})
 
 
-def words(what: str, least: int = 0, default: Any = "") -> Any:
+def text_option(what: str, least: int = 0, default: Any = "") -> Any:
     """A field that holds text, or a list of texts if `default` is (). `least` is the minimum length of the
     text, in characters."""
     return field(default=default, metadata={"least": least, "most": MAX_TEXT_CHARS, "what": what})
 
 
-def table(kind: type[Any], what: str) -> Any:
+def table_option(kind: type[Any], what: str) -> Any:
     """A field that holds tables by name, each read into the dataclass `kind`."""
     return field(default_factory=dict, metadata={"kind": kind, "what": what})
 
--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -1,9 +1,8 @@
 """All decisions of a backend: admission, queueing, cancellation, calls, denials and the published value.
 
-The host builds a Controller from StartFacts, calls its methods for every event with the time now (ms), and
-calls settle() once after the events of one moment. Operations go out through `perform`. The types of the
-interface are in policy/interface.py; docs/design.md explains the decisions.
-"""
+The host builds a Controller from ControllerSettings, calls its methods for every event with the time now
+(ms), and calls settle() once after the events of one moment. Operations go out through `perform`. The types
+of the interface are in policy/interface.py; docs/design.md explains the decisions."""
 
 from __future__ import annotations
 
@@ -18,7 +17,14 @@
 from myrtlecrank.policy import interface
 from myrtlecrank.policy.endpoint_group import EndpointGroupState
 from myrtlecrank.policy.exchange_state import CALL_PHASES, ExchangeState, Flow, Phase, ResumeReason, WaitPoint
-from myrtlecrank.policy.interface import Below, Cancellation, Exchange, Kind, Outcome, PublishedValueKind
+from myrtlecrank.policy.interface import (
+    Cancellation,
+    DependencyKind,
+    EffectKind,
+    Exchange,
+    Outcome,
+    PublishedValueKind,
+)
 
 NEVER = float("inf")
 MS_PER_S = 1000.0
@@ -110,8 +116,8 @@
 IDLE_TIMEOUT_GROWTH = 1.1
 
 # The flow of an exchange waits for the result of these.
-AWAITED_OPERATIONS = (interface.Start, interface.Call, interface.Skip, interface.Join)
-PROVEN_UNRUN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
+AWAITED_OPERATIONS = (interface.Start, interface.Call, interface.SkipCall, interface.AwaitOriginal)
+PROVEN_UNRUN = (Outcome.REJECTED, Outcome.UNREACHED, Outcome.NOT_STARTED)
 
 
 class Controller:
@@ -121,7 +127,7 @@
     """
 
     def __init__(
-        self, settings: interface.StartFacts, perform: interface.OperationHandler, now: float
+        self, settings: interface.ControllerSettings, perform: interface.OperationHandler, now: float
     ) -> None:
         self.perform = perform
         self.now = now
@@ -146,14 +152,14 @@
         self.memory_kb = settings.memory_kb
         self.running_memory_multiple = settings.running_memory_multiple
         self.key_kb = settings.key_kb
-        self.shared_result_lifetime_ms = settings.share_for
+        self.shared_result_lifetime_ms = settings.shared_result_lifetime
         self.drain_grace_ms = settings.drain_grace
         self.warm_concurrency_per_core = (
             1.0 + (settings.survivable_concurrency_per_core - 1.0) * USABLE_CONCURRENCY_FRACTION
         )
         self.cold_capacity = settings.cold_capacity
         self.warm_up_time_ms = settings.warm_up_time
-        self.machine_began(settings.cold, now)
+        self.machine_started(settings.cold, now)
         self.answer_margin_ms = (
             SAMPLE_INTERVAL_MS + 2.0 * settings.clock_granularity
         )  # answers go out this long before due
@@ -169,9 +175,9 @@
 
         # Calls to the dependency
         self.max_calls = 0.0
-        if settings.below is Below.SHARED:
+        if settings.dependency is DependencyKind.SHARED:
             self.max_calls = settings.call_limit
-        elif settings.below is Below.TIER:
+        elif settings.dependency is DependencyKind.TIER:
             self.max_calls = float(CALLS_PER_CORE * settings.cores)
         self.calls_window_ms = max(1.0, settings.call_limit_window)
         # How long a call still counts after its timeout, or after the end of its run
@@ -239,11 +245,11 @@
         self.min_openness = min_openness.get(self.published_value_kind, MIN_OPENNESS)
         self.published_value = -1.0
 
-        self.idle_timeout_ms = settings.idle
-        self.max_idle_timeout_ms = settings.idle
+        self.idle_timeout_ms = settings.idle_timeout
+        self.max_idle_timeout_ms = settings.idle_timeout
 
-        self.perform(interface.Health(is_healthy=True, shallow=True))
-        self.perform(interface.Alarm(SAMPLE_TIMER, SAMPLE_INTERVAL_MS))
+        self.perform(interface.SetHealth(is_healthy=True, shallow=True))
+        self.perform(interface.SetTimer(SAMPLE_TIMER, SAMPLE_INTERVAL_MS))
         self._publish()
 
     # The flow of an exchange
@@ -251,20 +257,20 @@
     def _exchange_flow(self, state: ExchangeState) -> Flow:
         """Takes an exchange from its arrival to its one answer; what it must wait for resumes it."""
         exchange, group = state.exchange, state.group
-        if exchange.earlier is not None and (
-            group.kind is Kind.DEDUPLICATED or self.shared_result_lifetime_ms > 0
+        if exchange.original is not None and (
+            group.kind is EffectKind.DEDUPLICATED or self.shared_result_lifetime_ms > 0
         ):
             return (yield from self._original_flow(state))
         if self._must_deny(state):
             return (yield self._denial(state))
-        if group.kind is Kind.DEDUPLICATED:
+        if group.kind is EffectKind.DEDUPLICATED:
             yield self._cache_result(state, group.deduplication_window)
         resumed_by = yield WaitPoint.QUEUE_TURN
         if resumed_by is not ResumeReason.CAPACITY_FREE:
-            if group.kind is Kind.DEDUPLICATED:
-                yield interface.Erase(exchange)
+            if group.kind is EffectKind.DEDUPLICATED:
+                yield interface.EvictResult(exchange)
             return (yield self._denial(state))
-        if state.is_repeatable and self.shared_result_lifetime_ms > 0 and exchange.keyed:
+        if state.is_repeatable and self.shared_result_lifetime_ms > 0 and exchange.names_subject:
             yield self._cache_result(state, self.shared_result_lifetime_ms + 2.0 * group.mean_run_ms)
         resumed_by = yield interface.Start(exchange)
         while resumed_by is ResumeReason.REACHED_CALL:
@@ -275,7 +281,7 @@
         is_pressed = resumed_by is ResumeReason.DURESS or self._mean_cpu() > DURESS_CPU_FRACTION
         yield self._denial(state) if state.is_repeatable and is_pressed else interface.Fail(exchange)
         if self.can_cancel and state.phase in (Phase.RUNNING, Phase.CALLING):
-            yield interface.Halt(exchange)
+            yield interface.Cancel(exchange)
 
     def _call_flow(self, state: ExchangeState) -> Generator[Any, Any, Any]:
         """Makes a call with the remaining time as its timeout; retries only where that can do no harm."""
@@ -292,7 +298,7 @@
             if not (state.is_repeatable or resumed_by in PROVEN_UNRUN):
                 break
         if state.group.benefit_without_call > 0:
-            return (yield interface.Skip(state.exchange))
+            return (yield interface.SkipCall(state.exchange))
         return ResumeReason.TOO_LATE
 
     def _original_flow(self, state: ExchangeState) -> Flow:
@@ -300,7 +306,7 @@
 
         So there is no second effect, and a read costs a twentieth of a run.
         """
-        resumed_by = yield interface.Join(state.exchange)
+        resumed_by = yield interface.AwaitOriginal(state.exchange)
         if not isinstance(resumed_by, Outcome):
             yield interface.Fail(state.exchange)  # not a denial: the original may have run
 
@@ -331,23 +337,23 @@
             state.is_answered = True
             if state.phase in (Phase.QUEUED, Phase.WAITING_FOR_ORIGINAL):
                 self._close(state)
-        elif isinstance(operation, interface.Erase):
+        elif isinstance(operation, interface.EvictResult):
             self._release_key(state)
         elif isinstance(operation, interface.Start):
             state.phase = Phase.RUNNING
             state.started_at = self.now
             self.running[state] = None
             self.starts_in_window += 1
-            self._set_memory(state, state.exchange.kb * self.running_memory_multiple)
+            self._set_memory(state, state.exchange.memory_kb * self.running_memory_multiple)
             self._wake_at(state, state.deadline - self.answer_margin_ms)
-        elif isinstance(operation, interface.Join):
+        elif isinstance(operation, interface.AwaitOriginal):
             state.phase = Phase.WAITING_FOR_ORIGINAL
             self.waiting_for_original[state] = None
             self._wake_at(state, state.deadline - self.answer_margin_ms)
         elif isinstance(operation, interface.Call):
             state.phase = Phase.CALLING
             self._count_calls(1)
-        elif isinstance(operation, interface.Skip):
+        elif isinstance(operation, interface.SkipCall):
             state.phase = Phase.RUNNING
 
     def _leave_call(self, state: ExchangeState) -> None:
@@ -369,11 +375,11 @@
         self.used_kb += kb - state.memory_kb
         state.memory_kb = kb
 
-    def _cache_result(self, state: ExchangeState, duration_ms: float) -> interface.Retain:
+    def _cache_result(self, state: ExchangeState, duration_ms: float) -> interface.CacheResult:
         self.used_kb += self.key_kb
         state.key_reserved_until = self.now + duration_ms
         self._add_timer(state.key_reserved_until, self.key_kb)
-        return interface.Retain(state.exchange, duration_ms)
+        return interface.CacheResult(state.exchange, duration_ms)
 
     def _release_key(self, state: ExchangeState) -> None:
         """Frees the memory of a key at once, as an exchange that never ran leaves no result.
@@ -406,15 +412,15 @@
     def arrived(self, exchange: Exchange, now: float) -> None:
         """An exchange was read; it is queued or denied, or waits for the exchange that it retries."""
         self.now = now
-        state = exchange.course = ExchangeState(exchange, self.groups[exchange.group], now)
-        self.used_kb += exchange.kb
+        state = exchange.controller_state = ExchangeState(exchange, self.groups[exchange.group], now)
+        self.used_kb += exchange.memory_kb
         if self.tenant_allowances:
             self.tenant_rates[exchange.tenant] += 1.0 / self.tenant_windows_ms[exchange.tenant]
         # Being read takes a while on an idle backend too; only what goes beyond the least delay is waiting.
-        self.least_read_delay_ms = min(self.least_read_delay_ms, exchange.waited)
-        self.window_least_read_delay_ms = min(self.window_least_read_delay_ms, exchange.waited)
+        self.least_read_delay_ms = min(self.least_read_delay_ms, exchange.read_delay)
+        self.window_least_read_delay_ms = min(self.window_least_read_delay_ms, exchange.read_delay)
         self.mean_read_delay_ms += READ_DELAY_SMOOTHING * (
-            exchange.waited - self.least_read_delay_ms - self.mean_read_delay_ms
+            exchange.read_delay - self.least_read_delay_ms - self.mean_read_delay_ms
         )
         state.value = self._initial_value(state)
         state.flow = self._exchange_flow(state)
@@ -442,7 +448,7 @@
         group = state.group
         slo_from = state.first_try_at if self.is_retry_storm else state.reached_at
         slo_end = slo_from + group.slo + group.slo_work_multiple * self._expected_run_ms(state)
-        earns_late = group.late_benefit > 0 or (self.is_retry_storm and state.exchange.deaf)
+        earns_late = group.late_benefit > 0 or (self.is_retry_storm and state.exchange.ignores_backpressure)
         answer_due = state.deadline - self.answer_margin_ms
         useful_until = answer_due if earns_late else min(slo_end, answer_due)
         return useful_until - LATEST_START_RUN_FRACTION * self._expected_run_ms(state)
@@ -456,7 +462,7 @@
         """
         value = state.value
         mean_run_ms = state.group.mean_run_ms
-        if self.is_retry_storm and state.exchange.deaf:
+        if self.is_retry_storm and state.exchange.ignores_backpressure:
             read_ms = min(self.least_read_delay_ms, mean_run_ms)
             tries = (state.deadline - self.now) / (RETRY_AFTER_DENIAL_MS + read_ms + self.mean_read_delay_ms)
             value /= max(MIN_NET_WORK_FRACTION, 1.0 - tries * read_ms / mean_run_ms)
@@ -479,7 +485,7 @@
             return False
         if self.is_retry_storm:
             # Denials of a full queue cost more than they shed: what would start in time stays.
-            if state.exchange.deaf:
+            if state.exchange.ignores_backpressure:
                 start_by = self._latest_useful_start(state)
             else:
                 start_by = state.reached_at + MAX_QUEUE_WAIT * state.group.slo
@@ -527,7 +533,7 @@
             self.queued_count -= 1
         self._advance(state, reason)
 
-    def machine_began(self, cold: bool, born: float) -> None:
+    def machine_started(self, cold: bool, born: float) -> None:
         """The machine started at `born`, possibly under a backend that goes on.
 
         Its cores are cold again then, and survive what cold cores do.
@@ -564,7 +570,7 @@
                 group.start_credit += group.queue[0].value / total_value
             chosen = max(waiting, key=lambda group: group.start_credit)
             state = max(chosen.queue, key=self._value_now)
-            extra_kb = state.exchange.kb * (self.running_memory_multiple - 1.0)
+            extra_kb = state.exchange.memory_kb * (self.running_memory_multiple - 1.0)
             lacks_memory = self.used_kb + extra_kb > USABLE_MEMORY_FRACTION * self.memory_kb
             if lacks_memory and self.running:
                 return
@@ -576,16 +582,16 @@
 
     # Runs and calls
 
-    def finished(self, exchange: Exchange, outcome: Outcome, took: float, now: float) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, took: float, now: float) -> None:
         """A run ended, or the original that a retry waits for; `took` is the duration of the run."""
         self.now = now
-        state: ExchangeState | None = exchange.course
+        state: ExchangeState | None = exchange.controller_state
         if state is None or state.phase is Phase.CLOSED:
             return
         self.ended_since_sample += state.phase is not Phase.WAITING_FOR_ORIGINAL
         if state.phase is not Phase.WAITING_FOR_ORIGINAL and outcome is Outcome.OK:
             self._learn_run(state, took)
-        if outcome is Outcome.MOOT:
+        if outcome is Outcome.NOT_STARTED:
             self._release_key(state)
         resumed_by: Outcome | ResumeReason = outcome
         if state.phase in CALL_PHASES:
@@ -618,16 +624,16 @@
             group.mean_run_ms += rate * (run_ms - group.mean_run_ms)
             group.learn_hint(state.exchange.work_hint, run_ms, rate)
 
-    def at_call(self, exchange: Exchange, now: float) -> None:
+    def call_reached(self, exchange: Exchange, now: float) -> None:
         """A run stands at a call to the dependency."""
         self.now = now
-        if exchange.course is not None and exchange.course.phase is Phase.RUNNING:
-            self._advance(exchange.course, ResumeReason.REACHED_CALL)
+        if exchange.controller_state is not None and exchange.controller_state.phase is Phase.RUNNING:
+            self._advance(exchange.controller_state, ResumeReason.REACHED_CALL)
 
     def call_ended(self, exchange: Exchange, outcome: Outcome, took: float, now: float) -> None:
         """A call to the dependency ended after `took` ms."""
         self.now = now
-        state: ExchangeState | None = exchange.course
+        state: ExchangeState | None = exchange.controller_state
         if state is None or state.phase is not Phase.CALLING:
             return
         if outcome is Outcome.TIMEOUT:
@@ -657,7 +663,7 @@
     def caller_left(self, exchange: Exchange, now: float) -> None:
         """The caller no longer waits: the exchange needs no answer; a repeatable run is cancelled."""
         self.now = now
-        state: ExchangeState | None = exchange.course
+        state: ExchangeState | None = exchange.controller_state
         if state is None or state.phase is Phase.CLOSED:
             return
         state.is_answered = True
@@ -666,7 +672,7 @@
             self._resume(state, ResumeReason.TOO_LATE)
             self._close(state)
         elif state.is_repeatable and self.can_cancel and state.phase is Phase.RUNNING:
-            self.perform(interface.Halt(exchange))
+            self.perform(interface.Cancel(exchange))
 
     # Timers, samples, publishing
 
@@ -698,7 +704,7 @@
         self._start_queued()
         self.peak_in_progress = max(self.peak_in_progress, self.queued_count + len(self.running))
 
-    def leave(self, left: float, now: float) -> float:
+    def start_drain(self, left: float, now: float) -> float:
         """Starts the drain, with `left` ms until the process stops; returns until when arrivals may run.
 
         The published value falls to nothing only then: callers learn of the drain late, and those that could
@@ -709,13 +715,13 @@
         self.drain_ends_at = min(
             now + self.drain_grace_ms - self.answer_margin_ms, self.stop_at - 2.0 * self.answer_margin_ms
         )
-        self.perform(interface.Health(is_healthy=False, shallow=True))
+        self.perform(interface.SetHealth(is_healthy=False, shallow=True))
         return self.drain_ends_at
 
-    def alarm(self, name: str, gauges: interface.Gauges, now: float) -> None:
+    def sample_due(self, name: str, gauges: interface.Gauges, now: float) -> None:
         """The timer of a sample fired: takes in the gauges, adapts the limits, checks duress and health."""
         self.now = now
-        self.perform(interface.Alarm(SAMPLE_TIMER, SAMPLE_INTERVAL_MS))
+        self.perform(interface.SetTimer(SAMPLE_TIMER, SAMPLE_INTERVAL_MS))
         self.samples += 1
         cpu = self._take_gauges(gauges)
         self._adapt_run_limit()
@@ -732,7 +738,7 @@
         on_cores = len(self.running) if gauges.on_cores is None else gauges.on_cores
         self.mean_on_cores += CONCURRENCY_SMOOTHING * (on_cores - self.mean_on_cores)
         self.memory_gauge = gauges.memory or 0.0
-        self.is_retry_storm = gauges.storm
+        self.is_retry_storm = gauges.is_retry_storm
         self.mean_read_delay_ms *= READ_DELAY_DECAY
         self.tenant_rates = [
             rate * (1.0 - SAMPLE_INTERVAL_MS / window_ms)
@@ -823,7 +829,7 @@
         self.next_unhealthy_ms = min(MAX_UNHEALTHY_MULTIPLE * UNHEALTHY_MS, 2.0 * self.next_unhealthy_ms)
         self.slowness = max(self.slowness, SLOW_RUN_MULTIPLE)
         self.ended_since_unhealthy = 0
-        self.perform(interface.Health(is_healthy=False, shallow=True))
+        self.perform(interface.SetHealth(is_healthy=False, shallow=True))
         self.perform(interface.Log("runs hardly end or none starts: bad health for a while"))
 
     def _turn_healthy_if_recovered(self) -> None:
@@ -836,7 +842,7 @@
         self.unhealthy_until = 0.0
         self.owed_runs = min(self.owed_runs, OWED_AFTER_RECOVERY_MULTIPLE * MAX_OWED_RUNS)
         self.least_read_delay_ms = NEVER  # while the work hung, reading took no time at all
-        self.perform(interface.Health(is_healthy=self.drain_ends_at == NEVER, shallow=True))
+        self.perform(interface.SetHealth(is_healthy=self.drain_ends_at == NEVER, shallow=True))
 
     def _check_duress(self, cpu: float) -> None:
         """Cancels the running exchange with the highest score, after three samples under duress in a row.
@@ -915,4 +921,4 @@
         idle_timeout_ms = min(self.max_idle_timeout_ms, max(SAMPLE_INTERVAL_MS, changed_ms))
         if idle_timeout_ms != self.idle_timeout_ms:
             self.idle_timeout_ms = idle_timeout_ms
-            self.perform(interface.IdleLimit(idle_timeout_ms))
+            self.perform(interface.SetIdleTimeout(idle_timeout_ms))
--- a/myrtlecrank/policy/exchange_state.py
+++ b/myrtlecrank/policy/exchange_state.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from myrtlecrank.policy.endpoint_group import EndpointGroupState
-from myrtlecrank.policy.interface import Exchange, Kind
+from myrtlecrank.policy.interface import EffectKind, Exchange
 
 # Yields an operation to carry out or a WaitPoint; is sent a ResumeReason or the Outcome of a run or a call.
 Flow = Generator[Any, Any, Any]
@@ -54,11 +54,16 @@
         self.exchange = exchange
         self.group = group
         self.phase = Phase.QUEUED
-        remaining = group.timeout - exchange.waited if exchange.left is None else exchange.left
+        remaining = (
+            group.timeout - exchange.read_delay
+            if exchange.remaining_time is None
+            else exchange.remaining_time
+        )
         self.deadline = now + max(0.0, remaining)
-        self.reached_at = now - exchange.waited
-        self.first_try_at = self.reached_at - exchange.age  # the SLO time counts from here in a retry storm
-        self.memory_kb = exchange.kb  # what is accounted for it now
+        self.reached_at = now - exchange.read_delay
+        # The SLO time counts from here in a retry storm.
+        self.first_try_at = self.reached_at - exchange.time_since_first_try
+        self.memory_kb = exchange.memory_kb  # what is accounted for it now
         self.key_reserved_until = 0.0  # while the memory of its key is accounted
         self.wake_at = 0.0  # the time of its one timer that counts
         self.started_at = 0.0
@@ -71,4 +76,4 @@
     @property
     def is_repeatable(self) -> bool:
         """Whether the exchange may run more than once."""
-        return self.group.kind is Kind.REPEATABLE
+        return self.group.kind is EffectKind.REPEATABLE
--- a/myrtlecrank/policy/interface.py
+++ b/myrtlecrank/policy/interface.py
@@ -1,8 +1,8 @@
 """The interface of the controller: types only. All times are milliseconds with fractions.
 
-A host builds one Controller for each backend from its StartFacts and a function that carries out operations.
-It calls the controller's methods for events, and carries out the operations in the order in which they come.
-"""
+A host builds one Controller for each backend from its ControllerSettings and a function that carries out
+operations. It calls the controller's methods for events, and carries out the operations in the order in which
+they come."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any
 
 
-class Kind(Enum):
+class EffectKind(Enum):
     """How often an exchange may take effect."""
 
     REPEATABLE = "repeatable"  # as often as it runs
@@ -28,7 +28,7 @@
     PAUSE = "pause"
 
 
-class Below(Enum):
+class DependencyKind(Enum):
     """What dependency the exchanges of this backend call."""
 
     NONE = "none"
@@ -50,12 +50,12 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the dependency rejected the call before it began
+    REJECTED = "full"  # the dependency rejected the call before it began
     TIMEOUT = "timeout"
     UNREACHED = "unreached"  # the command or the call was never delivered
     RESET = "reset"  # the connection broke: the outcome is unknown
     CANCELLED = "cancelled"
-    MOOT = "moot"  # the start had no effect: nothing ran
+    NOT_STARTED = "moot"  # the start had no effect: nothing ran
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     """Exchanges with the same effect, limits in time and benefit."""
 
     name: str
-    kind: Kind
+    kind: EffectKind
     slo: float  # SLO time
     timeout: float
     benefit: float
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class StartFacts:
+class ControllerSettings:
     """The settings of a controller: its backend, the fleet and the callers."""
 
     seed: int
@@ -110,16 +110,16 @@
     published_value_kind: PublishedValueKind = PublishedValueKind.NONE
     published_value_lifetime: float = 1000.0  # how long callers remember the published value
     max_retry_after: float = 0.0  # the longest advised wait that callers follow; 0: it is not passed on
-    tells_left: bool = True  # callers send how long they still wait
+    sends_remaining_time: bool = True  # callers send how long they still wait
     marks_retries: bool = False
-    tells_gone: bool = False  # callers that abandon an exchange say so
-    below: Below = Below.NONE
+    reports_abandonment: bool = False  # callers that abandon an exchange say so
+    dependency: DependencyKind = DependencyKind.NONE
     call_limit: float = 0.0  # calls in flight that this backend may have at a shared dependency, on average
     call_limit_window: float = 0.0  # time over which that average is taken
     abandoned_call_time: float = 0.0  # how long a call that is no longer awaited occupies the dependency
-    share_for: float = 0.0  # how long the answer of a read may serve other exchanges
+    shared_result_lifetime: float = 0.0  # how long the answer of a read may serve other exchanges
     deep_checks: bool = False
-    idle: float = 0.0  # callers close connections that idle this long
+    idle_timeout: float = 0.0  # callers close connections that idle this long
 
 
 @dataclass(slots=True, eq=False)
@@ -127,20 +127,22 @@
     """One arrival as the backend read it."""
 
     group: int
-    left: float | None  # time until the caller abandons it, None where callers do not send it
-    waited: float  # time from when it reached the machine until it was read
-    kb: float  # memory
+    remaining_time: float | None  # time until the caller abandons it, None where callers do not send it
+    read_delay: float  # time from when it reached the machine until it was read
+    memory_kb: float  # memory
     caller: int = 0
     tenant: int = 0
     rank: float = 0.0
     is_marked_retry: bool = False
-    keyed: bool = False  # names what it is about, so that reads of the same may share an answer
+    names_subject: bool = False  # names what it is about, so that reads of the same may share an answer
     work_hint: float = 0.0  # expected work; 0 where there is no hint
-    likely: float = 0.0  # probability that it retries an abandoned exchange; 0 where nothing is known
-    age: float = 0.0  # how long before this try the first one came, where it is likely a retry
-    deaf: bool = False  # its caller was seen to ignore both published value and advised waits
-    earlier: Exchange | None = None  # the exchange that it retries
-    course: Any = None  # the controller's own state
+    # Probability that it retries an abandoned exchange; 0 where nothing is known.
+    retry_probability: float = 0.0
+    # How long before this try the first one came, where it is likely a retry.
+    time_since_first_try: float = 0.0
+    ignores_backpressure: bool = False  # its caller was seen to ignore both published value and advised waits
+    original: Exchange | None = None  # the exchange that it retries
+    controller_state: Any = None  # the controller's own state
 
 
 @dataclass(slots=True)
@@ -151,7 +153,7 @@
     on_cores: float | None = None  # tasks on the cores: runs, reads and handshakes
     memory: float | None = None  # part of the memory in use
     connections: float | None = None
-    storm: bool = False  # a retry storm: a large share of the arrivals are likely retries
+    is_retry_storm: bool = False  # a retry storm: a large share of the arrivals are likely retries
 
 
 @dataclass(slots=True)
@@ -162,7 +164,7 @@
 
 
 @dataclass(slots=True)
-class Halt:
+class Cancel:
     """Cancel the run of the exchange."""
 
     exchange: Exchange
@@ -193,14 +195,14 @@
 
 
 @dataclass(slots=True)
-class Skip:
+class SkipCall:
     """Let the run go on without its call."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True)
-class Retain:
+class CacheResult:
     """Cache the result of the exchange for its retries."""
 
     exchange: Exchange
@@ -208,21 +210,21 @@
 
 
 @dataclass(slots=True)
-class Erase:
+class EvictResult:
     """Evict the entry of an exchange that never ran from the cache of results."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True)
-class Join:
+class AwaitOriginal:
     """Give the exchange the outcome of the one that it retries, once that is known."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True)
-class Health:
+class SetHealth:
     """Answer health checks from now on with this."""
 
     is_healthy: bool
@@ -237,15 +239,15 @@
 
 
 @dataclass(slots=True)
-class IdleLimit:
+class SetIdleTimeout:
     """Close connections that idle this long."""
 
     timeout: float
 
 
 @dataclass(slots=True)
-class Alarm:
-    """Call Controller.alarm() after the delay."""
+class SetTimer:
+    """Call Controller.sample_due() after the delay."""
 
     name: str
     delay: float
@@ -260,18 +262,18 @@
 
 Operation = (
     Start
-    | Halt
+    | Cancel
     | Deny
     | Fail
     | Call
-    | Skip
-    | Retain
-    | Erase
-    | Join
-    | Health
+    | SkipCall
+    | CacheResult
+    | EvictResult
+    | AwaitOriginal
+    | SetHealth
     | Publish
-    | IdleLimit
-    | Alarm
+    | SetIdleTimeout
+    | SetTimer
     | Log
 )
 OperationHandler = Callable[[Operation], None]
--- a/myrtlecrank/retries/estimator.py
+++ b/myrtlecrank/retries/estimator.py
@@ -8,10 +8,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from myrtlecrank.retries.abandoned import UncompletedDigests
 from myrtlecrank.retries.caller_timeouts import TimeoutHistogram
 from myrtlecrank.retries.noncompliance import FADE_STEP_MS, ComplianceTracker
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
+from myrtlecrank.retries.uncompleted import UncompletedDigests
 
 SHARE_HALF_LIFE_MS = 1000.0  # of the counts that make up the share of retries
 MIN_RECENT_ARRIVALS = 8.0  # faded count below which no share is stated
@@ -41,10 +41,10 @@
     noncompliant_callers: int  # counted during a storm only
 
 
-class Repeats:
+class RetryEstimator:
     """Estimates retries and the compliance of callers for one backend."""
 
-    def __init__(self, deadlines: Sequence[float], seed: int, options: Bounds, now: float) -> None:
+    def __init__(self, deadlines: Sequence[float], seed: int, options: RetryOptions, now: float) -> None:
         """`deadlines`: the async timeout of each endpoint group; `seed`: of the digests."""
         self.options = options
         self.deadlines = list(deadlines)
@@ -60,7 +60,7 @@
         self.storm = False
         self.threshold_crossed_at = now  # since when the share is beyond the limit that would change `storm`
 
-    def change_options(self, options: Bounds) -> None:
+    def change_options(self, options: RetryOptions) -> None:
         """Takes over new options. Learned state stays, except in tables whose size or duration changes."""
         previous, self.options = self.options, options
         if (options.digests, options.memory_ms) != (previous.digests, previous.memory_ms):
@@ -140,11 +140,11 @@
             self.uncompleted.record_uncompleted(self.uncompleted.digest(group, tenant, rank, body))
         self.compliance.record_answer(caller, wait, credit, now)
 
-    def left(self, caller: int, now: float) -> None:
+    def record_abandonment(self, caller: int, now: float) -> None:
         """Records that the caller gave up an exchange or disconnected before its answer."""
         self.compliance.record_abandonment(caller, now)
 
-    def tide(self, now: float) -> StormStatus:
+    def update_storm_status(self, now: float) -> StormStatus:
         """Returns the share of retries and whether there is a storm. Called on each sampling tick."""
         self._fade(now)
         retry_share = self._retry_share()
--- a/myrtlecrank/retries/exchange_marks.py
+++ b/myrtlecrank/retries/exchange_estimates.py
@@ -4,27 +4,27 @@
 from __future__ import annotations
 
 from myrtlecrank.policy.interface import Exchange
-from myrtlecrank.retries.estimator import Repeats
+from myrtlecrank.retries.estimator import RetryEstimator
 
 
-def arrived(
-    estimator: Repeats | None, exchange: Exchange, body: bytes, wait: float | None, now: float
+def estimate_arrival(
+    estimator: RetryEstimator | None, exchange: Exchange, body: bytes, wait: float | None, now: float
 ) -> None:
     """Sets the estimates of an arrival, if there is an estimator.
 
     `wait`: how long the caller stated that it waits, from when the exchange reached the machine."""
     if estimator is not None:
-        reached = now - exchange.waited
+        reached = now - exchange.read_delay
         estimate = estimator.arrived(
             exchange.group, exchange.tenant, exchange.rank, body, exchange.caller, wait, reached, now
         )
-        exchange.likely = estimate.retry_probability
-        exchange.age = estimate.age
-        exchange.deaf = estimate.noncompliant
+        exchange.retry_probability = estimate.retry_probability
+        exchange.time_since_first_try = estimate.age
+        exchange.ignores_backpressure = estimate.noncompliant
 
 
-def answered(
-    estimator: Repeats | None,
+def record_answer(
+    estimator: RetryEstimator | None,
     exchange: Exchange,
     body: bytes,
     uncompleted: bool,
--- a/myrtlecrank/serve.py
+++ b/myrtlecrank/serve.py
@@ -13,14 +13,14 @@
 from loguru import logger
 
 from myrtlecrank import log
-from myrtlecrank.agent.client import Link
+from myrtlecrank.agent.client import AgentClient
 from myrtlecrank.configuration import Configuration, ConfigurationError
 from myrtlecrank.core.actor import Core, now_ms
-from myrtlecrank.core.messages import Adopt, Leave
-from myrtlecrank.dependency.client import BelowLink
-from myrtlecrank.edge.server import Front
-from myrtlecrank.membership_list.client import Roll
-from myrtlecrank.operators.file import OperatorsError
+from myrtlecrank.core.messages import DrainRequested, RetryOptionsChanged
+from myrtlecrank.dependency.client import DependencyClient
+from myrtlecrank.edge.server import EdgeServer
+from myrtlecrank.membership_list.client import MembershipListClient
+from myrtlecrank.operators.file import OperatorsFileError
 from myrtlecrank.signals import SIGNALS
 from myrtlecrank.subsystems import SECTIONS, OperatorOptions
 
@@ -40,10 +40,10 @@
 @dataclass(frozen=True, slots=True)
 class _Actors:
     core: Core
-    agent: Link
-    membership_list: Roll
-    dependency: BelowLink | None
-    edge: Front
+    agent: AgentClient
+    membership_list: MembershipListClient
+    dependency: DependencyClient | None
+    edge: EdgeServer
     fleet: FleetActor | None
 
 
@@ -92,25 +92,25 @@
         )
         if self.actors.dependency is not None and new.dependency_address is not None:
             logger.info("configuration read: layer below {}:{}", *new.dependency_address)
-            self.actors.dependency.move(new.dependency_address)
-        self.actors.agent.move(new.agent_address)
-        self.actors.membership_list.move(new.membership_list_address)
+            self.actors.dependency.change_address(new.dependency_address)
+        self.actors.agent.change_address(new.agent_address)
+        self.actors.membership_list.change_address(new.membership_list_address)
 
     def _reload_operator_options(self) -> None:
         """Applies the operators' file whole, or not at all where it has a mistake."""
         try:
             new = self.load_operator_options()
-        except OperatorsError as error:
+        except OperatorsFileError as error:
             for line in str(error).splitlines()[:MAX_LOGGED_MISTAKES]:
                 logger.error("the old operators' file goes on: {}", line[:MAX_LOGGED_CHARS])
             return
         changed = self.operator_options.changed_sections(new)
         if changed:
             logger.info("operators' file read: changed are {}", ", ".join(changed))
-            self.actors.core.mailbox.post(Adopt(new.repeats))
-            self.actors.edge.adopt(new.accepting)
+            self.actors.core.mailbox.post(RetryOptionsChanged(new.repeats))
+            self.actors.edge.set_accept_rate(new.accepting)
             if self.actors.fleet is not None and new.fleet is not None:
-                self.actors.fleet.retune(new.fleet)
+                self.actors.fleet.apply_options(new.fleet)
             elif "fleet" in changed:
                 logger.warning("[fleet] takes a new start and stays as it was")
         self.operator_options = new
@@ -122,11 +122,11 @@
     core = actors.core
     edge = actors.edge
     while now_ms() < (core.stop_at or 0.0) - EXIT_MARGIN_MS:
-        if not core.unanswered and edge.emptied() and actors.membership_list.told is False:
+        if not core.unanswered and edge.is_empty() and actors.membership_list.last_reported is False:
             break
         gevent.sleep(DRAIN_POLL_S)
     logger.info("leaves with {} exchanges, {} connections", core.unanswered, len(edge.connections))
-    edge.last_words()
+    edge.flush_and_close()
 
 
 def serve(
@@ -143,13 +143,13 @@
     log.to_stderr()
     # The addresses are numeric: the blocking resolver needs no thread pool.
     gevent.config.resolver = "block"
-    agent: Link
+    agent: AgentClient
     core: Core
-    membership_list = Roll(configuration.membership_list_address, configuration.name)
+    membership_list = MembershipListClient(configuration.membership_list_address, configuration.name)
     dependency = None
     if configuration.dependency_address is not None:
         shortest_slo = min(group.slo for group in configuration.settings.groups)
-        dependency = BelowLink(
+        dependency = DependencyClient(
             configuration.dependency_address,
             lambda event: core.mailbox.post(event),
             DEPENDENCY_SILENCE_SLO_SHARE * shortest_slo,
@@ -158,11 +158,11 @@
         configuration.settings,
         configuration.stop_ms,
         lambda command: agent.mailbox.post(command),
-        membership_list.tell,
-        repeats=operator_options.repeats,
-        below=None if dependency is None else dependency.mailbox.post,
+        membership_list.report_change,
+        retry_options=operator_options.repeats,
+        send_to_dependency=None if dependency is None else dependency.mailbox.post,
     )
-    agent = Link(configuration.agent_address, configuration.gauges, core.mailbox.post)
+    agent = AgentClient(configuration.agent_address, configuration.gauges, core.mailbox.post)
     finished = Flag()
     stopped_accepting = Flag()
     exit_code = 0
@@ -185,13 +185,15 @@
         from myrtlecrank.fleet.actor import FleetActor  # not imported while the section is off
 
         fleet = FleetActor(operator_options.fleet, configuration.name, configuration.settings.seed)
-    edge = Front(configuration.listen_address, configuration.sockets, core, spawn, operator_options.accepting)
+    edge = EdgeServer(
+        configuration.listen_address, configuration.sockets, core, spawn, operator_options.accepting
+    )
     actors = _Actors(core, agent, membership_list, dependency, edge, fleet)
     reloader = _Reloader(configuration, operator_options, read_configuration, load_operator_options, actors)
-    core.on_shut.append(stopped_accepting.set)
-    core.on_beat += [agent.look, membership_list.beat]
+    core.on_stop_accepting.append(stopped_accepting.set)
+    core.on_tick += [agent.check_silence, membership_list.report_if_due]
     if dependency is not None:
-        core.on_beat.append(dependency.look)
+        core.on_tick.append(dependency.check_silence)
 
     def finish_drain() -> None:
         stopped_accepting.wait()
@@ -199,14 +201,16 @@
         finished.set()
 
     def start_drain() -> None:
-        core.mailbox.post(Leave(now_ms()))
+        core.mailbox.post(DrainRequested(now_ms()))
         if fleet is not None:
-            fleet.depart()
+            fleet.start_drain()
 
     if fleet is not None:
         member = fleet
-        core.on_beat.append(
-            lambda _: member.feel(core.board, core.repeats is not None and core.repeats.storm)
+        core.on_tick.append(
+            lambda _: member.update_gauges(
+                core.published, core.retry_estimator is not None and core.retry_estimator.storm
+            )
         )
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, start_drain)
@@ -215,7 +219,7 @@
     runs: list[Callable[[], object]] = [
         core.run,
         agent.run,
-        agent.write,
+        agent.write_commands,
         membership_list.run,
         edge.run,
         finish_drain,
--- a/myrtlecrank/settings.py
+++ b/myrtlecrank/settings.py
@@ -1,4 +1,4 @@
-"""Translates the settings that a backend gets at its start into StartFacts.
+"""Translates the settings that a backend gets at its start into ControllerSettings.
 
 The simulator's adapter and the real backend both use it. The outer names of settings stay in this module.
 """
@@ -10,9 +10,9 @@
 from myrtlecrank.policy import interface
 
 EFFECT_KINDS = {
-    "read_like": interface.Kind.REPEATABLE,
-    "idempotency_key": interface.Kind.DEDUPLICATED,
-    "non_idempotent": interface.Kind.MUTATING,
+    "read_like": interface.EffectKind.REPEATABLE,
+    "idempotency_key": interface.EffectKind.DEDUPLICATED,
+    "non_idempotent": interface.EffectKind.MUTATING,
 }
 CANCELLATIONS = {
     "silent": interface.Cancellation.NONE,
@@ -20,9 +20,9 @@
     "pause": interface.Cancellation.PAUSE,
 }
 DEPENDENCIES = {
-    "silent": interface.Below.NONE,
-    "common": interface.Below.SHARED,
-    "next_hop": interface.Below.TIER,
+    "silent": interface.DependencyKind.NONE,
+    "common": interface.DependencyKind.SHARED,
+    "next_hop": interface.DependencyKind.TIER,
 }
 PUBLISHED_VALUE_KINDS = {
     "silent": interface.PublishedValueKind.NONE,
@@ -124,8 +124,8 @@
     )
 
 
-def start_facts(settings: Fields, seed: int) -> interface.StartFacts:
-    """The facts in the settings; raises FieldError."""
+def controller_settings(settings: Fields, seed: int) -> interface.ControllerSettings:
+    """The settings of the controller; raises FieldError."""
     domain = settings.inner("domain")
     guarantees = settings.inner("guarantees")
     bounds = settings.inner("bounds", {})
@@ -144,7 +144,7 @@
         Fields(tenant, f"{settings.where}, tenant {i}")
         for i, tenant in enumerate(settings.items("tenants", []))
     ]
-    return interface.StartFacts(
+    return interface.ControllerSettings(
         seed=seed,
         groups=groups,
         cores=domain.integer("cores"),
@@ -175,20 +175,20 @@
         ),
         published_value_lifetime=domain.duration_ms("heeded", DEFAULT_VALUE_LIFETIME_US),
         max_retry_after=bounds.duration_ms("maxRetryAfter", 0.0) if bounds.flag("retryAfter", False) else 0.0,
-        tells_left=domain.flag("passesDeadline", True),
+        sends_remaining_time=domain.flag("passesDeadline", True),
         marks_retries=settings.inner("clients", {}).flag("marksRetry", False),
-        tells_gone=domain.flag("hangupSeen", False),
-        below=domain.choice("downstream", DEPENDENCIES, interface.Below.NONE),
+        reports_abandonment=domain.flag("hangupSeen", False),
+        dependency=domain.choice("downstream", DEPENDENCIES, interface.DependencyKind.NONE),
         call_limit=domain.number("depShare", 0.0),
         call_limit_window=domain.duration_ms("depWindow", 0.0),
         abandoned_call_time=domain.duration_ms("staysFor", 0.0),
-        share_for=domain.duration_ms("shareFor", 0.0),
+        shared_result_lifetime=domain.duration_ms("shareFor", 0.0),
         deep_checks=domain.flag("deepChecks", False),
-        idle=domain.duration_ms("idle", 0.0),
+        idle_timeout=domain.duration_ms("idle", 0.0),
     )
 
 
-def gauge_names(settings: Fields) -> list[str]:
+def gauge_attributes(settings: Fields) -> list[str]:
     """The attributes of interface.Gauges for the values of a sample, in order; "" for an unknown one."""
     names = settings.inner("domain").items("gauges", list(GAUGE_ATTRIBUTES))
     return [GAUGE_ATTRIBUTES.get(name, "") for name in names]
--- a/myrtlecrank/simulator_adapter/__main__.py
+++ b/myrtlecrank/simulator_adapter/__main__.py
@@ -8,7 +8,7 @@
 import traceback
 
 from myrtlecrank import subsystems
-from myrtlecrank.operators.file import OperatorsError
+from myrtlecrank.operators.file import OperatorsFileError
 from myrtlecrank.simulator_adapter.host import Panic, serve
 from myrtlecrank.simulator_adapter.protocol import ProtocolError
 
@@ -17,7 +17,7 @@
     """Serves until the input ends; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer, subsystems.load().repeats)
-    except OperatorsError as error:
+    except OperatorsFileError as error:
         print(f"benchlink: {error}", file=sys.stderr)
         return 2
     except ProtocolError as error:
--- a/myrtlecrank/simulator_adapter/host.py
+++ b/myrtlecrank/simulator_adapter/host.py
@@ -8,10 +8,10 @@
 
 from myrtlecrank.policy import interface
 from myrtlecrank.policy.controller import Controller
-from myrtlecrank.retries import exchange_marks
-from myrtlecrank.retries.estimator import Repeats
-from myrtlecrank.retries.options import Bounds
-from myrtlecrank.settings import Fields, start_facts
+from myrtlecrank.retries import exchange_estimates
+from myrtlecrank.retries.estimator import RetryEstimator
+from myrtlecrank.retries.options import RetryOptions
+from myrtlecrank.settings import Fields, controller_settings
 from myrtlecrank.simulator_adapter import protocol
 
 NO_BODY = b""  # the simulator sends no bodies
@@ -20,16 +20,16 @@
 class Instance:
     """One backend: its controller, the exchanges that events may still name, and the replies to send."""
 
-    def __init__(self, number: int, event: Fields, now: float, bounds: Bounds | None = None) -> None:
-        settings = start_facts(event.inner("conf"), event.integer("rngSeed"))
+    def __init__(self, number: int, event: Fields, now: float, options: RetryOptions | None = None) -> None:
+        settings = controller_settings(event.inner("conf"), event.integer("rngSeed"))
         self.number = number
-        self.tells_left = settings.tells_left
+        self.sends_remaining_time = settings.sends_remaining_time
         self.group_count = len(settings.groups)
         self.tenant_count = len(settings.tenants)
         longest_ms = max(
             (group.timeout + group.deduplication_window for group in settings.groups), default=0.0
         )
-        self.remembered_ms = 2.0 * longest_ms + settings.share_for
+        self.remembered_ms = 2.0 * longest_ms + settings.shared_result_lifetime
         self.exchanges: dict[int, interface.Exchange] = {}
         self.numbers: dict[interface.Exchange, int] = {}
         self.arrivals: deque[tuple[float, int]] = deque()  # time and number, the eldest first
@@ -37,10 +37,10 @@
         self.now = now
         self.published_value: float | None = None
         # Without bodies their similarity is left out of the estimate; all else is as on sockets.
-        self.repeats = None
-        if bounds is not None:
+        self.retry_estimator = None
+        if options is not None:
             timeouts = [group.timeout for group in settings.groups]
-            self.repeats = Repeats(timeouts, settings.seed, bounds, now)
+            self.retry_estimator = RetryEstimator(timeouts, settings.seed, options, now)
         self.controller = Controller(settings, self._perform, now)
 
     def _perform(self, operation: interface.Operation) -> None:
@@ -52,8 +52,8 @@
         self.replies.append(protocol.encode_operation(operation, self.number, self.numbers.__getitem__))
 
     def _mark_answered(self, exchange: interface.Exchange, has_failed: bool, retry_after: float) -> None:
-        exchange_marks.answered(
-            self.repeats, exchange, NO_BODY, has_failed, retry_after, self.published_value, self.now
+        exchange_estimates.record_answer(
+            self.retry_estimator, exchange, NO_BODY, has_failed, retry_after, self.published_value, self.now
         )
 
     def forget_old(self, now: float) -> None:
@@ -64,16 +64,18 @@
                 del self.numbers[exchange]
 
     def _decode_arrival(self, event: Fields, now: float) -> interface.Exchange:
-        exchange = protocol.decode_exchange(event, self.tells_left, self.group_count, self.tenant_count)
+        exchange = protocol.decode_exchange(
+            event, self.sends_remaining_time, self.group_count, self.tenant_count
+        )
         number = event.integer("call")
         original = event.integer("earlier", 0)
         if original:
             # A retry stays one even if the exchange that it retries is no longer in the table.
-            exchange.earlier = self.exchanges.get(original) or interface.Exchange(
+            exchange.original = self.exchanges.get(original) or interface.Exchange(
                 exchange.group, None, 0.0, 0.0
             )
-        timeout = None if exchange.left is None else exchange.left + exchange.waited
-        exchange_marks.arrived(self.repeats, exchange, NO_BODY, timeout, now)
+        timeout = None if exchange.remaining_time is None else exchange.remaining_time + exchange.read_delay
+        exchange_estimates.estimate_arrival(self.retry_estimator, exchange, NO_BODY, timeout, now)
         self.exchanges[number] = exchange
         self.numbers[exchange] = number
         self.arrivals.append((now, number))
@@ -91,25 +93,27 @@
             if exchange:
                 if outcome in (interface.Outcome.OK, interface.Outcome.ERROR):
                     self._mark_answered(exchange, outcome is interface.Outcome.ERROR, 0.0)
-                self.controller.finished(exchange, outcome, took_ms, now)
+                self.controller.run_ended(exchange, outcome, took_ms, now)
         elif name == "atCall":
             if exchange:
-                self.controller.at_call(exchange, now)
+                self.controller.call_reached(exchange, now)
         elif name == "cameBack":
             outcome, took_ms = protocol.decode_outcome(event), event.duration_ms("costTime", 0.0)
             if exchange:
                 self.controller.call_ended(exchange, outcome, took_ms, now)
         elif name == "expired":
             if exchange:
-                if self.repeats is not None:
-                    self.repeats.left(exchange.caller, now)
+                if self.retry_estimator is not None:
+                    self.retry_estimator.record_abandonment(exchange.caller, now)
                 self.controller.caller_left(exchange, now)
         elif name == "terminateSoon":
-            self.controller.leave(event.duration_ms("patienceLeft"), now)
+            self.controller.start_drain(event.duration_ms("patienceLeft"), now)
         elif name == "fired":
             gauges = protocol.decode_gauges(event)
-            gauges.storm = self.repeats is not None and self.repeats.tide(now).storm
-            self.controller.alarm(event.text("name"), gauges, now)
+            gauges.is_retry_storm = (
+                self.retry_estimator is not None and self.retry_estimator.update_storm_status(now).storm
+            )
+            self.controller.sample_due(event.text("name"), gauges, now)
 
 
 EXCHANGE_EVENTS = {"result", "atCall", "cameBack", "expired"}
@@ -119,8 +123,8 @@
 class Host:
     """All simulated backends of the process, and the batch that is being read."""
 
-    def __init__(self, bounds: Bounds | None = None) -> None:
-        self.bounds = bounds
+    def __init__(self, options: RetryOptions | None = None) -> None:
+        self.options = options
         self.instances: dict[int, Instance] = {}
         self.batch_time: float | None = None  # ms; None: outside a batch
         self.instances_in_batch: dict[int, Instance] = {}
@@ -142,7 +146,7 @@
             return self._end_batch(self.batch_time)
         number = event.integer("backendId")
         if name == "start":
-            started = self._guarded(number, Instance, number, event, self.batch_time, self.bounds)
+            started = self._guarded(number, Instance, number, event, self.batch_time, self.options)
             self.instances[number] = started
             self.instances_in_batch[number] = started
         elif name == "retire":
@@ -187,13 +191,13 @@
         self.line = protocol.encode_panic(backend, cause)
 
 
-def serve(lines: Iterable[bytes], out: BinaryIO, bounds: Bounds | None = None) -> None:
+def serve(lines: Iterable[bytes], out: BinaryIO, options: RetryOptions | None = None) -> None:
     """Runs until the input ends.
 
     Raises ProtocolError for a malformed line, and Panic for an exception in a controller once that is sent.
-    `bounds` are the limits of the retry estimate; None turns it off.
+    `options` are those of the retry estimator; None turns it off.
     """
-    host = Host(bounds)
+    host = Host(options)
     number = 0
     for number, line in enumerate(lines, 1):
         if not line.strip():
--- a/myrtlecrank/simulator_adapter/protocol.py
+++ b/myrtlecrank/simulator_adapter/protocol.py
@@ -16,12 +16,12 @@
 OUTCOMES = {
     10: interface.Outcome.OK,
     20: interface.Outcome.ERROR,
-    30: interface.Outcome.FULL,
+    30: interface.Outcome.REJECTED,
     40: interface.Outcome.TIMEOUT,
     50: interface.Outcome.UNREACHED,
     60: interface.Outcome.RESET,
     70: interface.Outcome.CANCELLED,
-    80: interface.Outcome.MOOT,
+    80: interface.Outcome.NOT_STARTED,
 }
 
 
@@ -38,9 +38,10 @@
 
 
 def decode_exchange(
-    event: Fields, tells_left: bool, group_count: int, tenant_count: int
+    event: Fields, sends_remaining_time: bool, group_count: int, tenant_count: int
 ) -> interface.Exchange:
-    """The exchange of an arrival; `tells_left`: whether the remaining time of callers may be used."""
+    """The exchange of an arrival; `sends_remaining_time`: whether the remaining time of callers may be
+    used."""
     group = event.integer("priority")
     if not 0 <= group < group_count:
         raise ProtocolError(
@@ -54,14 +55,14 @@
     left = event.duration_ms("patienceLeft", 0.0)
     return interface.Exchange(
         group=group,
-        left=left if tells_left and left > 0 else None,
-        waited=event.duration_ms("backlogTime", 0.0),
-        kb=event.number("memKb", 0.0),
+        remaining_time=left if sends_remaining_time and left > 0 else None,
+        read_delay=event.duration_ms("backlogTime", 0.0),
+        memory_kb=event.number("memKb", 0.0),
         caller=event.integer("originPeer", 0),
         tenant=tenant,
         rank=event.number("prio", 0.0),
         is_marked_retry=event.flag("repeat", False),
-        keyed=bool(event.text("object", "")),
+        names_subject=bool(event.text("object", "")),
         work_hint=event.duration_ms("sizeHint", 0.0),
     )
 
@@ -93,7 +94,7 @@
     match operation:
         case interface.Start(exchange):
             row = {"msg": "take", "call": number_of(exchange)}
-        case interface.Halt(exchange):
+        case interface.Cancel(exchange):
             row = {"msg": "preempt", "call": number_of(exchange)}
         case interface.Deny(exchange, is_final, retry_after):
             row = {
@@ -106,21 +107,21 @@
             row = {"msg": "respondError", "call": number_of(exchange)}
         case interface.Call(exchange, timeout):
             row = {"msg": "callDep", "call": number_of(exchange), "tryFor": _microseconds(timeout)}
-        case interface.Skip(exchange):
+        case interface.SkipCall(exchange):
             row = {"msg": "skip", "call": number_of(exchange)}
-        case interface.Retain(exchange, duration):
+        case interface.CacheResult(exchange, duration):
             row = {"msg": "retain", "call": number_of(exchange), "span": _microseconds(duration)}
-        case interface.Erase(exchange):
+        case interface.EvictResult(exchange):
             row = {"msg": "erase", "call": number_of(exchange)}
-        case interface.Join(exchange):
+        case interface.AwaitOriginal(exchange):
             row = {"msg": "join", "call": number_of(exchange)}
-        case interface.Health(is_healthy, shallow):
+        case interface.SetHealth(is_healthy, shallow):
             row = {"msg": "setHealth", "on": is_healthy, "shallow": shallow}
         case interface.Publish(value):
             row = {"msg": "publish", "amount": value}
-        case interface.IdleLimit(timeout):
+        case interface.SetIdleTimeout(timeout):
             row = {"msg": "idleLimit", "span": _microseconds(timeout)}
-        case interface.Alarm(name, delay):
+        case interface.SetTimer(name, delay):
             row = {"msg": "setAlarm", "name": name, "offset": _microseconds(delay)}
         case interface.Log(text):
             row = {"msg": "remark", "text": text}
--- a/myrtlecrank/subsystems.py
+++ b/myrtlecrank/subsystems.py
@@ -13,8 +13,8 @@
     from myrtlecrank.fleet import options as fleet_options
 
 SECTIONS: SectionDefinitions = {
-    "repeats": (retry_options.Bounds, retry_options.contradictions),
-    "accepting": (accept_rate.Accepting, accept_rate.contradictions),
+    "repeats": (retry_options.RetryOptions, retry_options.contradictions),
+    "accepting": (accept_rate.AcceptRateOptions, accept_rate.contradictions),
     "fleet": "myrtlecrank.fleet.options",
 }
 
@@ -27,9 +27,9 @@
     """
 
     path: str | None = None
-    repeats: retry_options.Bounds | None = None
-    accepting: accept_rate.Accepting | None = None
-    fleet: fleet_options.Bounds | None = None
+    repeats: retry_options.RetryOptions | None = None
+    accepting: accept_rate.AcceptRateOptions | None = None
+    fleet: fleet_options.FleetOptions | None = None
 
     def changed_sections(self, other: OperatorOptions) -> list[str]:
         """The names of the sections whose options differ in `other`."""
@@ -39,7 +39,7 @@
 
 def load(path: str | None = None) -> OperatorOptions:
     """Reads the file at `path`, else the one that MYRTLECRANK_OPERATORS names, else the default one; where
-    there is none, every subsystem is off. Raises OperatorsError."""
+    there is none, every subsystem is off. Raises OperatorsFileError."""
     file = find_file(path)
     if file is None:
         return OperatorOptions()
--- a/rig/backend.py
+++ b/rig/backend.py
@@ -10,21 +10,21 @@
 
 from myrtlecrank.core.actor import Core
 from myrtlecrank.core.messages import (
+    AgentCommand,
+    AgentConnected,
     Answer,
-    Arrived,
-    Command,
-    Event,
-    Freeze,
-    Greeted,
-    Launch,
-    Leave,
+    CancelRun,
+    CoreEvent,
+    DrainRequested,
+    ExchangeArrived,
+    ExchangeRequest,
+    GaugesSampled,
     RunEnded,
-    Sample,
-    Sampled,
-    Ticket,
+    SampleGauges,
+    StartRun,
 )
 from myrtlecrank.policy import interface
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from rig.backend_stand_in import Stand
 from rig.callers import Try, said_of
 from rig.machine import Build, Time
@@ -40,30 +40,35 @@
         self,
         number: int,
         clock: Time,
-        facts: interface.StartFacts,
+        settings: interface.ControllerSettings,
         build: Build,
         rules: Rules,
         cold: bool,
         stop_ms: float,
         tell_list: Callable[[int, bool], None],
-        bounds: Bounds | None,
+        options: RetryOptions | None,
         with_core: Callable[[Core], None] = lambda _: None,
         on_read: Callable[[Try], None] = lambda _: None,
     ) -> None:
         super().__init__(number, clock, build, rules, cold, stop_ms, tell_list, on_read)
-        self.letters: list[Event] = []
+        self.letters: list[CoreEvent] = []
         self.woken = False
         self.wind_at = float("inf")
-        told = replace(facts, cold=cold)
+        told = replace(settings, cold=cold)
         self.core = Core(
-            told, stop_ms, self._command, lambda on: tell_list(number, on), now=clock.now, repeats=bounds
+            told,
+            stop_ms,
+            self._command,
+            lambda on: tell_list(number, on),
+            now=clock.now,
+            retry_options=options,
         )
         with_core(self.core)
-        self._post(Greeted(cold, clock.now - self.machine.born))
+        self._post(AgentConnected(cold, clock.now - self.machine.born))
 
     # The module's actor on the clock
 
-    def _post(self, letter: Event) -> None:
+    def _post(self, letter: CoreEvent) -> None:
         self.letters.append(letter)
         if not self.woken:
             self.woken = True
@@ -73,13 +78,18 @@
         self.woken = False
         if not self.alive:
             return
-        letters, self.letters = self.letters, []
-        self.core.process_batch(letters, self.clock.now)
+        messages, self.letters = self.letters, []
+        self.core.process_batch(messages, self.clock.now)
         timers = self.core.timers
         if timers and timers[0][0] != self.wind_at:
             at = self.wind_at = max(timers[0][0], self.clock.now)
             self.clock.at(at, lambda: self._ring(at))
-        if self.notice is not None and not self.core.unanswered and self.core.board.shut and not self.unread:
+        if (
+            self.notice is not None
+            and not self.core.unanswered
+            and self.core.published.stopped_accepting
+            and not self.unread
+        ):
             self.clock.after(self.LOOK, self.stop)  # answers on their way are written first
 
     def _ring(self, at: float) -> None:
@@ -91,48 +101,51 @@
     # Callers and the agent
 
     def accepts(self) -> bool:
-        return self.notice is None or not self.core.board.shut
+        return self.notice is None or not self.core.published.stopped_accepting
 
     def hand_in(self, one: Try) -> None:
         self.taken(one)
         wish = one.wish
-        ticket = Ticket(
-            ident=one.ident,
+        request = ExchangeRequest(
+            exchange_id=one.ident,
             group=wish.group,
             tenant=wish.tenant,
-            reached=one.reached,
-            wait=wish.due - wish.first if one.caller.habits.told_whole else one.wait,
+            arrived_at=one.reached,
+            caller_timeout=wish.due - wish.first if one.caller.habits.told_whole else one.wait,
             kb=wish.kb,
             rank=wish.rank,
             caller=one.caller.number,
-            about="",
+            result_key="",
             body=wish.body,
-            answer=self._answer,
-            place=one,
+            send_answer=self._answer,
+            reply_context=one,
         )
-        self._post(Arrived(ticket))
+        self._post(ExchangeArrived(request))
 
     def _answer(self, answer: Answer) -> None:
-        one: Try = answer.ticket.place
-        said, value = said_of(answer.verdict), self.core.board.value
-        self.clock.after(self.HOP, lambda: self.answered(one, said, value, answer.wait, answer.last))
+        one: Try = answer.request.reply_context
+        said, value = said_of(answer.verdict), self.core.published.published_value
+        self.clock.after(
+            self.HOP, lambda: self.answered(one, said, value, answer.retry_after, answer.no_other_backend)
+        )
 
-    def _command(self, command: Command) -> None:
+    def _command(self, command: AgentCommand) -> None:
         match command:
-            case Launch(ident, _, _):
-                self.clock.after(self.HOP, lambda: self.launch(ident))
-            case Freeze(ident):
-                self.clock.after(self.HOP, lambda: self.freeze(ident))
-            case Sample(tag):
+            case StartRun(exchange_id, _, _):
+                self.clock.after(self.HOP, lambda: self.launch(exchange_id))
+            case CancelRun(exchange_id):
+                self.clock.after(self.HOP, lambda: self.freeze(exchange_id))
+            case SampleGauges(tag):
                 self.clock.after(
-                    self.HOP, lambda: self._post(Sampled(tag, interface.Gauges(**self.machine.gauges())))
+                    self.HOP,
+                    lambda: self._post(GaugesSampled(tag, interface.Gauges(**self.machine.gauges()))),
                 )
 
-    def notify(self, ident: str, end: str, took: float) -> None:
-        self._post(RunEnded(ident, ENDS[end], took, b""))
+    def notify(self, exchange_id: str, end: str, took: float) -> None:
+        self._post(RunEnded(exchange_id, ENDS[end], took, b""))
 
     def leave(self) -> None:
         if self.alive and self.notice is None:
             self.notice = self.clock.now
-            self._post(Leave(self.notice))
+            self._post(DrainRequested(self.notice))
             self.clock.after(self.stop_ms, self.stop)
--- a/rig/backend_stand_in.py
+++ b/rig/backend_stand_in.py
@@ -43,7 +43,7 @@
         """Brings what the machine has read to the backend, and calls taken()."""
         raise NotImplementedError
 
-    def notify(self, ident: str, end: str, took: float) -> None:
+    def notify(self, exchange_id: str, end: str, took: float) -> None:
         """Tells the backend that a run is over: PASS or KILLED."""
         raise NotImplementedError
 
@@ -80,25 +80,27 @@
 
     # The agent
 
-    def launch(self, ident: str) -> None:
-        one = self.tries.get(ident)
-        if one is None or not self.alive or ident in self.jobs:
+    def launch(self, exchange_id: str) -> None:
+        one = self.tries.get(exchange_id)
+        if one is None or not self.alive or exchange_id in self.jobs:
             return
         self.rules.launched(one, self.clock.now, self.notice)
-        self.jobs[ident] = self.machine.run(one.wish.work, one.wish.kb, lambda: self._ended(ident, "PASS"))
+        self.jobs[exchange_id] = self.machine.run(
+            one.wish.work, one.wish.kb, lambda: self._ended(exchange_id, "PASS")
+        )
 
-    def freeze(self, ident: str) -> None:
-        job = self.jobs.get(ident)
+    def freeze(self, exchange_id: str) -> None:
+        job = self.jobs.get(exchange_id)
         if job is not None and self.alive and self.machine.halt(job):
-            self._ended(ident, "KILLED")
+            self._ended(exchange_id, "KILLED")
 
-    def _ended(self, ident: str, end: str) -> None:
-        job = self.jobs.pop(ident)
-        one = self.tries.get(ident)
+    def _ended(self, exchange_id: str, end: str) -> None:
+        job = self.jobs.pop(exchange_id)
+        one = self.tries.get(exchange_id)
         if one is not None and one.answered is not None:
-            del self.tries[ident]
+            del self.tries[exchange_id]
         if self.alive:
-            self.notify(ident, end, self.clock.now - job.began)
+            self.notify(exchange_id, end, self.clock.now - job.began)
 
     # Its end
 
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from myrtlecrank.core.actor import Core
-from myrtlecrank.edge.accept_rate import Accepting
+from myrtlecrank.edge.accept_rate import AcceptRateOptions
 from myrtlecrank.policy import interface
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from rig.backend import Backend
 from rig.backend_stand_in import Stand
 from rig.callers import Caller, Habits, Try, Wish
@@ -19,7 +19,13 @@
 from rig.machine import Build
 from rig.rules import Rules
 
-BUILD, HEEDING, DEAF, BOUNDS, ACCEPTING = Build(), Habits(), Habits(deaf=True), Bounds(), Accepting()
+BUILD, HEEDING, DEAF, BOUNDS, ACCEPTING = (
+    Build(),
+    Habits(),
+    Habits(deaf=True),
+    RetryOptions(),
+    AcceptRateOptions(),
+)
 
 
 @dataclass(frozen=True)
@@ -61,8 +67,8 @@
     habits: Habits = HEEDING
     deaf_habits: Habits = DEAF
     replace_in_ms: float = 500.0
-    repeats: Bounds | None = BOUNDS  # None: the program without its estimate
-    accepting: Accepting | None = ACCEPTING  # None: connections are accepted as they come
+    repeats: RetryOptions | None = BOUNDS  # None: the program without its estimate
+    accepting: AcceptRateOptions | None = ACCEPTING  # None: connections are accepted as they come
     crowd: int = 0  # connections that come at one instant when a backend is back; real processes only
 
     @property
@@ -81,17 +87,23 @@
         work = sum(g.share * g.work for g in self.groups)
         return self.load * self.backends * self.build.cores * self.build.speed * 1000.0 / work
 
-    def facts(self, seed: int) -> interface.StartFacts:
+    def facts(self, seed: int) -> interface.ControllerSettings:
         groups = [
             interface.EndpointGroup(
-                g.name, interface.Kind.REPEATABLE, self.slo, self.timeout, g.benefit, g.late_benefit, 0.0
+                g.name,
+                interface.EffectKind.REPEATABLE,
+                self.slo,
+                self.timeout,
+                g.benefit,
+                g.late_benefit,
+                0.0,
             )
             for g in self.groups
         ]
         each = self.per_second() * 1.2 / max(1, self.tenants)
         tenants = [interface.Tenant(f"tenant-{i}", 1.0 / self.tenants, each) for i in range(self.tenants)]
         b = self.build
-        return interface.StartFacts(
+        return interface.ControllerSettings(
             seed=seed,
             groups=groups,
             cores=b.cores,
@@ -114,7 +126,7 @@
             published_value_kind=interface.PublishedValueKind.CREDIT,
             published_value_lifetime=1000.0,
             max_retry_after=1000.0,
-            idle=30_000.0,
+            idle_timeout=30_000.0,
         )
 
 
--- a/rig/ground_truth.py
+++ b/rig/ground_truth.py
@@ -57,22 +57,22 @@
     def look(self, now: float) -> None:
         for backend in self._backends():
             share = self.shares.setdefault(backend.number, Share())
-            repeats = backend.core.repeats
-            if not backend.alive or repeats is None:
+            estimator = backend.core.retry_estimator
+            if not backend.alive or estimator is None:
                 share.since = None
                 continue
             self.looks += 1
             if share.arrivals >= 8.0:
                 true = share.again / share.arrivals
                 if (
-                    repeats.recent_arrivals >= 8.0
-                    and repeats.total_arrivals >= repeats.options.least_arrivals
+                    estimator.recent_arrivals >= 8.0
+                    and estimator.total_arrivals >= estimator.options.least_arrivals
                 ):
                     weight = share.arrivals
-                    self.off_by += weight * abs(repeats.recent_retries / repeats.recent_arrivals - true)
+                    self.off_by += weight * abs(estimator.recent_retries / estimator.recent_arrivals - true)
                     self.weight += weight
-                self._onset(share, true, repeats.storm, now)
-                self.false_ms += LOOK_MS * (repeats.storm and true < NONE)
+                self._onset(share, true, estimator.storm, now)
+                self.false_ms += LOOK_MS * (estimator.storm and true < NONE)
             share.fade()
         if now >= self.fleet.scene.kill_at + 5000.0:
             self._deaf(now)
@@ -90,13 +90,13 @@
         """How many of the callers that heed nothing are known as such, and whether others are."""
         truly = {c.number for c in self.fleet.callers if c.habits.deaf}
         for backend in self._backends():
-            repeats = backend.core.repeats
-            if not backend.alive or repeats is None or not repeats.storm:
+            estimator = backend.core.retry_estimator
+            if not backend.alive or estimator is None or not estimator.storm:
                 continue
             known = {
                 n
-                for n, told in repeats.compliance.callers.items()
-                if repeats.compliance.is_noncompliant(told)
+                for n, told in estimator.compliance.callers.items()
+                if estimator.compliance.is_noncompliant(told)
             }
             self.deaf_right += len(known & truly)
             self.deaf_all += len(truly)
--- a/rig/multi_node/member.py
+++ b/rig/multi_node/member.py
@@ -10,11 +10,11 @@
 from myrtlecrank.fleet.member import FleetConfig, FleetMember
 from myrtlecrank.fleet.membership.messages import MemberUpdate, State
 from myrtlecrank.fleet.messages import Message
-from myrtlecrank.fleet.register.calls import Letter, replies
+from myrtlecrank.fleet.register.calls import VoterMessage, answer_messages
 from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import decode, encode
-from myrtlecrank.fleet.register.messages import Known, Memory, Seated
-from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set
+from myrtlecrank.fleet.register.messages import Memory, RejoinAnswer, VoterSetNotice
+from myrtlecrank.fleet.register.voter_set import VoterSet, founding_voter_set
 from myrtlecrank.fleet.step_scheduler import Effect
 from rig.multi_node.environment import Host, World
 
@@ -40,9 +40,9 @@
         self.writing = None
 
 
-def newest(voters: Iterable[Voter]) -> Roster:
+def newest(voters: Iterable[Voter]) -> VoterSet:
     """The newest roster that any of these goes by."""
-    return max((one.memory.roster for one in voters), key=lambda roster: roster.number)
+    return max((one.memory.voter_set for one in voters), key=lambda voter_set: voter_set.number)
 
 
 class VoterHost:
@@ -62,7 +62,7 @@
         memory = decode(disk.image) if disk.image is not None else None
         ident = f"{host.name}/{host.life}"
         self.voter = Voter(host.name, guess, memory, self._keep, memory_is_trusted=trusted, instance_id=ident)
-        self.waiting: list[tuple[str, Letter]] = []
+        self.waiting: list[tuple[str, VoterMessage]] = []
         self.busy = False
         self._rejoin()
 
@@ -74,14 +74,14 @@
 
     def _rejoin(self) -> None:
         """Now and then, as a voter may be wanted at any time later."""
-        asked = self.voter.rejoin()
+        asked = self.voter.rejoin_request()
         if asked is not None:
             for other in sorted(self.voter.others):
                 self.send(other, asked)
         self.host.later(self.host.world.now + REJOIN_MS, self._rejoin)
 
-    def ask(self, sender: str, asked: Letter) -> None:
-        self.waiting.append((sender, asked))
+    def ask(self, sender: str, request: VoterMessage) -> None:
+        self.waiting.append((sender, request))
         if not self.busy:
             self._turn()
 
@@ -89,8 +89,8 @@
         taken, self.waiting = self.waiting, []
         # A copy of a memory that is told: what is sent must not change with it.
         said: list[tuple[str, Message]] = [
-            (to, UNPACK.decode(PACKED.encode(message)) if isinstance(message, Known) else message)
-            for to, message in replies(self.voter, taken)
+            (to, UNPACK.decode(PACKED.encode(message)) if isinstance(message, RejoinAnswer) else message)
+            for to, message in answer_messages(self.voter, taken)
         ]
         self.busy = True
         self.host.later(self.host.world.now + self.flush_ms, lambda: self._flushed(said))
@@ -160,9 +160,9 @@
 
     def heard(self, sender: str, raw: bytes) -> None:
         message = UNPACK.decode(raw)
-        if isinstance(message, Letter) and self.voter is not None:
+        if isinstance(message, VoterMessage) and self.voter is not None:
             self.voter.ask(sender, message)
-            if not isinstance(message, Seated):
+            if not isinstance(message, VoterSetNotice):
                 return
         self.fleet.handle(sender, message, self.host.clock())
         self.tick()
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -10,9 +10,9 @@
 
 from myrtlecrank.fleet.member import FleetConfig
 from myrtlecrank.fleet.membership.swim import MembershipTiming
-from myrtlecrank.fleet.ownership.lease import Terms
-from myrtlecrank.fleet.register.reconfiguration import Reseated
-from myrtlecrank.fleet.register.voter_set import Roster
+from myrtlecrank.fleet.ownership.lease import LeaseTimings
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult
+from myrtlecrank.fleet.register.voter_set import VoterSet
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 from rig.multi_node.checkers import Away, Resource, at_once
 from rig.multi_node.environment import World
@@ -79,8 +79,8 @@
 def plan_of(scene: Scene) -> FleetConfig:
     voters = tuple(f"m{i}" for i in range(scene.voters))
     works = tuple(DutySchedule(f"duty-{i}", scene.step_every, 400.0, 100.0) for i in range(scene.duties))
-    terms = Terms.of(scene.lease, DRIFT, scene.lease / 4.0)
-    return FleetConfig(voters, works, terms, PACE, 250.0, 3000.0, scene.watch)
+    timings = LeaseTimings.derive(scene.lease, DRIFT, scene.lease / 4.0)
+    return FleetConfig(voters, works, timings, PACE, 250.0, 3000.0, scene.watch)
 
 
 class Play:
@@ -99,7 +99,9 @@
             one.peers = {other.name: other for other in self.members}
         self.script: list[tuple[float, str, str, float]] = []
         self.acted: list[tuple[float, str, str]] = []  # when it was decided, on which duty, by which owner
-        self.away = Away(self.plan.lease_terms.wait + 2.0 * self.plan.lease_terms.look)
+        self.away = Away(
+            self.plan.lease_timings.takeover_wait_ms + 2.0 * self.plan.lease_timings.poll_interval_ms
+        )
         self.world_seed = seed
         self.voters_changed = 0
         if plant is not None:
@@ -161,18 +163,18 @@
             return a is b or not (cut or (until > now and more > 100.0))
 
         reached = [
-            (v.name, v.voter.voter.memory.seat)
+            (v.name, v.voter.voter.memory.identity)
             for v in self.members
             if v.voter is not None
             and self._runs(v)
-            and v.voter.voter.voting
+            and v.voter.voter.is_voting
             and v.disk.full_until <= now
             and through(one, v)
             and through(v, one)
         ]
         return self._runs(one) and self.roster().has_majority(reached)
 
-    def roster(self) -> Roster:
+    def roster(self) -> VoterSet:
         """The newest that any voter goes by."""
         return newest(v.voter.voter for v in self.members if v.voter is not None)
 
@@ -241,7 +243,7 @@
         """One memory is lost at a time: what two have lost together nobody can know, and the register stands
         still for good, as it should."""
         voters = self.voters()
-        return all(v.host.up and v.voter is not None and v.voter.voter.voting for v in voters)
+        return all(v.host.up and v.voter is not None and v.voter.voter.is_voting for v in voters)
 
     def _lost_disk(self, one: Member, _: list[Member], ms: float) -> None:
         all_vote = self._all_vote()
@@ -266,8 +268,8 @@
             one.fleet.replace_voters([drop.name], [add.name], self.reseated, one.host.clock())
             one.tick()
 
-    def reseated(self, how: Reseated) -> None:
-        self.voters_changed += not how.wrong
+    def reseated(self, how: ReconfigurationResult) -> None:
+        self.voters_changed += not how.error
 
     def _leave(self, one: Member, _: list[Member], ms: float) -> None:
         if one.host.up and one.host.stopped_until <= self.world.now:
--- a/rig/multi_node/ownership_model_check.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -14,11 +14,16 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from myrtlecrank.fleet.ownership.lease import Duty, Lease, Look, Put, Terms
+from myrtlecrank.fleet.ownership.lease import Duty, Lease, LeaseTimings, ReadRecord, WriteRecord
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 
-TERMS = Terms(
-    lease_ms=3.0, wait=4.0, renewal_interval_ms=1.0, look=1.0, stagger_ms=0.0, successor_wait_ms=2.0
+TERMS = LeaseTimings(
+    lease_ms=3.0,
+    takeover_wait_ms=4.0,
+    renewal_interval_ms=1.0,
+    poll_interval_ms=1.0,
+    stagger_ms=0.0,
+    successor_wait_ms=2.0,
 )
 NAMES = ("a/1", "b/1")
 
@@ -28,7 +33,7 @@
     """A call on its way. `outcome`: once the register took it; `waited`: its member has not given it up."""
 
     member: int
-    asked: Look | Put
+    asked: ReadRecord | WriteRecord
     outcome: Outcome | None = None
     waited: bool = True
 
@@ -53,15 +58,15 @@
         return (
             duty.record,
             duty.record_is_known,
-            ago(duty.since),
+            ago(duty.record_seen_at),
             duty.epoch,
-            ago(duty.until),
+            ago(duty.lease_end),
             duty.attempts,
             duty.sent_attempt,
             ago(duty.sent_at),
-            duty.asked,
+            duty.pending_request,
             ago(duty.due),
-            duty.heir,
+            duty.successor,
             duty.completed_step,
         )
 
@@ -69,8 +74,10 @@
 class Walk:
     """`plant` changes each duty before the walk: a bug."""
 
-    def __init__(self, depth: int, terms: Terms = TERMS, plant: Callable[[Duty], None] | None = None) -> None:
-        self.depth, self.terms = depth, terms
+    def __init__(
+        self, depth: int, timings: LeaseTimings = TERMS, plant: Callable[[Duty], None] | None = None
+    ) -> None:
+        self.depth, self.terms = depth, timings
         self.plant = plant
         self.seen: dict[tuple[Any, ...], int] = {}
         self.wrong: list[tuple[str, ...]] = []
@@ -87,14 +94,14 @@
         if owned:
             first = duties[0]
             for _ in range(2):  # a look, then the taking
-                asked = first.want(0.0, True, 0)
+                asked = first.next_request(0.0, True, 0)
                 assert asked is not None
-                first.sending(asked, 0.0)
-                if isinstance(asked, Put):
+                first.request_sent(asked, 0.0)
+                if isinstance(asked, WriteRecord):
                     record = Record(1, asked.value(), f"{first.owner_id}:{asked.lease.attempt}")
-                first.heard(Outcome(Result.DONE, record), 0.0)
-            duties[1].sending(Look(False), 0.0)
-            duties[1].heard(Outcome(Result.DONE, record), 0.0)
+                first.outcome_received(Outcome(Result.DONE, record), 0.0)
+            duties[1].request_sent(ReadRecord(False), 0.0)
+            duties[1].outcome_received(Outcome(Result.DONE, record), 0.0)
         self._from(State(0, record, duties), self.depth, ())
         return self
 
@@ -121,9 +128,9 @@
         now = float(state.now)
         for i, duty in enumerate(state.duties):
             mine = copied(duty)
-            asked = mine.want(now, True, 0)
+            asked = mine.next_request(now, True, 0)
             if asked is not None:
-                mine.sending(asked, now)
+                mine.request_sent(asked, now)
                 yield (
                     f"{duty.owner_id} asks",
                     self._with(state, i, mine, calls=(*state.calls, Sent(i, asked))),
@@ -139,11 +146,13 @@
                 continue
             if sent.outcome is not None:
                 mine = copied(state.duties[sent.member])
-                mine.heard(sent.outcome, now)
+                mine.outcome_received(sent.outcome, now)
                 yield f"{name} hears", self._with(state, sent.member, mine, calls=rest)
             mine = copied(state.duties[sent.member])
-            mine.heard(Outcome(Result.UNKNOWN if isinstance(sent.asked, Put) else Result.AWAY), now)
-            lost = isinstance(sent.asked, Put) and sent.outcome is None
+            mine.outcome_received(
+                Outcome(Result.UNKNOWN if isinstance(sent.asked, WriteRecord) else Result.UNAVAILABLE), now
+            )
+            lost = isinstance(sent.asked, WriteRecord) and sent.outcome is None
             ghost = (*rest, replace(sent, waited=False)) if lost else rest
             yield f"{name} gives up", self._with(state, sent.member, mine, calls=ghost)
         yield "time", replace(state, now=state.now + 1)
@@ -155,32 +164,32 @@
     @staticmethod
     def _taken(state: State, sent: Sent) -> Iterator[tuple[Outcome, Record]]:
         asked, stands = sent.asked, state.record
-        if isinstance(asked, Put):
-            if asked.over.writer != stands.writer:
+        if isinstance(asked, WriteRecord):
+            if asked.expected.writer != stands.writer:
                 yield Outcome(Result.CONFLICT, stands), stands
                 return
             new = written(state, sent)
             yield Outcome(Result.DONE, new), new
             return
         yield Outcome(Result.DONE, stands), stands
-        if not asked.sure:
+        if not asked.is_verified:
             for other in state.calls:
-                if isinstance(other.asked, Put) and other.outcome is None:
+                if isinstance(other.asked, WriteRecord) and other.outcome is None:
                     yield Outcome(Result.DONE, written(state, other)), stands
 
 
 def written(state: State, sent: Sent) -> Record:
     """The record that a change makes, known by its writer as in the register."""
-    assert isinstance(sent.asked, Put)
+    assert isinstance(sent.asked, WriteRecord)
     lease: Lease = sent.asked.lease
     writer = f"{state.duties[sent.member].owner_id}:{lease.attempt}"
-    return Record(sent.asked.over.version + 1, sent.asked.value(), writer)
+    return Record(sent.asked.expected.version + 1, sent.asked.value(), writer)
 
 
 def copied(duty: Duty) -> Duty:
     """All that it refers to is frozen, but for the lines for the log."""
     twin = copy(duty)
-    twin.changes = []
+    twin.log_lines = []
     return twin
 
 
@@ -193,10 +202,10 @@
 
 
 class CountsFromAnswer(Duty):
-    def heard(self, outcome: Outcome, now: float) -> None:
-        if isinstance(self.asked, Put):
+    def outcome_received(self, outcome: Outcome, now: float) -> None:
+        if isinstance(self.pending_request, WriteRecord):
             self.sent_at = now
-        super().heard(outcome, now)
+        super().outcome_received(outcome, now)
 
 
 def believes_a_glance(duty: Duty) -> None:
@@ -215,5 +224,5 @@
 
 
 class OneTurn(Duty):
-    def _new_lease(self, owner: str, epoch: int, heir: str, progress: int) -> Lease:
-        return Lease(owner, epoch, 1, heir, progress)
+    def _new_lease(self, owner: str, epoch: int, successor: str, progress: int) -> Lease:
+        return Lease(owner, epoch, 1, successor, progress)
--- a/rig/multi_node/planted_faults.py
+++ b/rig/multi_node/planted_faults.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import Any
 
-from myrtlecrank.fleet.ownership.lease import Lease, Put
+from myrtlecrank.fleet.ownership.lease import Lease, WriteRecord
 from myrtlecrank.fleet.register.disk import encode
 from myrtlecrank.fleet.register.messages import Memory
 from myrtlecrank.fleet.register.voter_set import founding_voter_set
@@ -64,19 +64,21 @@
     def make(duty: Any, want: Any) -> Any:
         def wanted(now: float, fit: bool, owned: int) -> Any:
             asked = want(now, fit, owned)
-            if isinstance(asked, Put) and duty.epoch is None and asked.lease.owner:
+            if isinstance(asked, WriteRecord) and duty.epoch is None and asked.lease.owner:
                 lease = asked.lease
-                return Put(asked.over, Lease(lease.owner, 1, lease.attempt, lease.heir, lease.progress))
+                return WriteRecord(
+                    asked.expected, Lease(lease.owner, 1, lease.attempt, lease.successor, lease.progress)
+                )
             return asked
 
         return wanted
 
-    _each_duty(play, "want", make)
+    _each_duty(play, "next_request", make)
 
 
 def no_look_on_waking(play: Play) -> None:
     """What it owned before a pause it owns after it."""
-    _each_duty(play, "owns", lambda duty, _: lambda now: duty.epoch if duty.heir is None else None)
+    _each_duty(play, "owns", lambda duty, _: lambda now: duty.epoch if duty.successor is None else None)
 
 
 def voter_forgets(play: Play) -> None:
--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -13,14 +13,14 @@
 
 import msgspec
 
-from myrtlecrank.fleet.messages import Message, Voted
+from myrtlecrank.fleet.messages import Message, VoterReply
 from myrtlecrank.fleet.register import reconfiguration as reseating
-from myrtlecrank.fleet.register.calls import Calls, replies
+from myrtlecrank.fleet.register.calls import Calls, answer_messages
 from myrtlecrank.fleet.register.caspaxos import Proposer, Voter
 from myrtlecrank.fleet.register.disk import decode, encode
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, VOTER_SET_KEY, Memory, Outcome, Record, Result
-from myrtlecrank.fleet.register.reconfiguration import Reseated
-from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult
+from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set, founding_voter_set
 from rig.multi_node.checkers import Op
 from rig.multi_node.member import PACKED, UNPACK, newest
 from rig.multi_node.register_history import Asker, judged
@@ -52,7 +52,9 @@
         self.lives += 1
         name, random = self.name, self.play.random
         self.calls = Calls(1.0, lambda to, message: self.play.send(name, to, message))
-        self.proposer = Proposer(f"{name}/{self.lives}", guessed(FOUNDERS), random.random, max_attempts=4)
+        self.proposer = Proposer(
+            f"{name}/{self.lives}", configured_voter_set(FOUNDERS), random.random, max_attempts=4
+        )
         last = self.asker.last if self.asker is not None else EMPTY_RECORD
         self.asker = Asker(self.proposer, self.play.history, random.random, last)
         self.changed = 0
@@ -66,19 +68,19 @@
         if self.changes:
             self.changed += 1
             token = f"{self.proposer.proposer_id}:{self.changed}"
-            now = sorted(self.proposer.roster.names)
+            now = sorted(self.proposer.voter_set.names)
             drop, add = [play.random.choice(now)], [play.random.choice(ALL)]
             if play.random.random() < 0.2:
                 drop, add = [], []
-            self.calls.start(reseating.reseat(self.proposer, drop, add, token), self.reseated, play.now)
+            self.calls.start(reseating.reconfigure(self.proposer, drop, add, token), self.reseated, play.now)
             return
         play.left -= 1
         asker = self.asker
         call, op = asker.next(play.now)
         self.calls.start(call, lambda outcome, _: asker.done(op, outcome, play.now), play.now)
 
-    def reseated(self, how: Reseated, _: float) -> None:
-        self.play.reseated += not how.wrong
+    def reseated(self, how: ReconfigurationResult, _: float) -> None:
+        self.play.reseated += not how.error
 
 
 class Shuffle:
@@ -116,17 +118,17 @@
         message: Any = UNPACK.decode(one.raw)
         caller = self.callers.get(one.target)
         if caller is not None:
-            if isinstance(message, Voted):
-                caller.calls.heard(one.source, message, self.now)
+            if isinstance(message, VoterReply):
+                caller.calls.receive_vote(one.source, message, self.now)
             return
         # What is told must not change with the memory that it was read from: send() packs it at once.
-        for to, reply in replies(self.voters[one.target], [(one.source, message)]):
+        for to, reply in answer_messages(self.voters[one.target], [(one.source, message)]):
             self.send(one.target, to, reply)
 
     def lose(self) -> None:
         """One memory at a time: only while all that vote do."""
         names = newest(self.voters.values()).names
-        if all(self.voters[name].voting for name in names):
+        if all(self.voters[name].is_voting for name in names):
             name = self.random.choice(names)
             self.images.pop(name, None)
             self.start(name)
@@ -154,7 +156,7 @@
         elif kind < 0.996 and self.loses:
             self.lose()
         for name, voter in self.voters.items():
-            asked = voter.rejoin()
+            asked = voter.rejoin_request()
             if asked is not None and random.random() < 0.05:
                 for other in sorted(voter.others):
                     self.send(name, other, asked)
@@ -199,22 +201,22 @@
 
 def no_joint() -> Undo:
     """The new voters stand at once, without a majority of the old ones."""
-    real = Roster.begin_change
+    real = VoterSet.begin_change
 
-    def changed(roster: Roster, drop: Iterable[str], add: dict[str, str]) -> Roster:
-        return Roster(roster.number + 1, real(roster, drop, add).sets[-1:])
+    def changed(voter_set: VoterSet, drop: Iterable[str], add: dict[str, str]) -> VoterSet:
+        return VoterSet(voter_set.number + 1, real(voter_set, drop, add).sets[-1:])
 
-    return _put(Roster, "begin_change", changed)
+    return _put(VoterSet, "begin_change", changed)
 
 
 def no_rewrite() -> Undo:
     """The new voters stand alone before they hold what was chosen."""
 
-    def settled(proposer: Proposer, record: Record, joint: Roster) -> Any:
-        changed: Outcome = yield from proposer.change(
+    def settled(proposer: Proposer, record: Record, joint: VoterSet) -> Any:
+        changed: Outcome = yield from proposer.compare_and_set(
             VOTER_SET_KEY, record, msgspec.msgpack.encode(joint.complete_change())
         )
-        return changed.result is Result.DONE and proposer.seated(joint.complete_change())
+        return changed.result is Result.DONE and proposer.adopt_voter_set(joint.complete_change())
 
     return _put(reseating, "complete_reconfiguration", settled)
 
@@ -228,12 +230,12 @@
             mark.startswith("-")
             or not hasattr(asked, "key")
             or voter.memory_is_lost
-            or voter.memory.roster.number < 0
+            or voter.memory.voter_set.number < 0
         ):
             return real(voter, mark, asked)
-        was, voter.voting = voter.voting, True
-        vote = real(voter, voter.memory.roster.fingerprint(), asked)
-        voter.voting = was
+        was, voter.is_voting = voter.is_voting, True
+        vote = real(voter, voter.memory.voter_set.fingerprint(), asked)
+        voter.is_voting = was
         return vote
 
     return _put(Voter, "_answer", answer)
--- a/rig/multi_node/register_history.py
+++ b/rig/multi_node/register_history.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from myrtlecrank.fleet.messages import Message, Voted
-from myrtlecrank.fleet.register.calls import Calls, Letter
+from myrtlecrank.fleet.messages import Message, VoterReply
+from myrtlecrank.fleet.register.calls import Calls, VoterMessage
 from myrtlecrank.fleet.register.caspaxos import Call, Proposer
 from myrtlecrank.fleet.register.disk import encode
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Memory, Outcome, Record, Result
-from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
-from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult, reconfigure
+from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set, founding_voter_set
 from rig.multi_node.checkers import Op, linearizable
 from rig.multi_node.environment import Host, World
 from rig.multi_node.member import PACKED, UNPACK, Disk, VoterHost, newest
@@ -47,7 +47,7 @@
         self.disk.die(self.play.world.random.random() < 0.5)
 
     def heard(self, sender: str, message: Any) -> None:
-        if self.voter is not None and isinstance(message, Letter):
+        if self.voter is not None and isinstance(message, VoterMessage):
             self.voter.ask(sender, message)
 
 
@@ -67,7 +67,7 @@
         else:
             writer = f"{self.proposer.proposer_id}:{self.proposer.call_count + 1}"
             op = Op(now, float("inf"), "maybe", over=self.last.writer, wrote=writer)
-            call = self.proposer.change(KEY, self.last, b"x")
+            call = self.proposer.compare_and_set(KEY, self.last, b"x")
         self.history.append(op)
         return call, op
 
@@ -78,7 +78,7 @@
             op.kind = "read" if op.kind == "unseen" else "change"
         elif result is Result.CONFLICT:
             op.end, op.kind, op.saw, self.last = now, "conflict", outcome.record.writer, outcome.record
-        elif result is Result.AWAY:
+        elif result is Result.UNAVAILABLE:
             self.history.remove(op)  # nothing was proposed
 
 
@@ -101,9 +101,11 @@
     def start(self) -> None:
         name = self.name
         self.host.up, self.host.life = True, self.host.life + 1
-        self.calls = Calls(30.0, lambda to, asked: self.play.send(name, to, asked))
+        self.calls = Calls(30.0, lambda to, request: self.play.send(name, to, request))
         ident, chance = f"{self.name}/{self.host.life}", self.play.world.random.random
-        self.proposer = Proposer(ident, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0)
+        self.proposer = Proposer(
+            ident, configured_voter_set(self.play.founders), chance, max_attempts=4, backoff_ms=5.0
+        )
         last = self.asker.last if self.asker is not None else EMPTY_RECORD
         self.asker = Asker(self.proposer, self.play.history, chance, last)
         if self.play.plant is not None:
@@ -126,14 +128,14 @@
         self.host.later(now + self.play.world.random.uniform(0.0, 25.0), self.next)
 
     def heard(self, sender: str, message: Any) -> None:
-        if isinstance(message, Voted):
-            self.calls.heard(sender, message, self.play.world.now)
+        if isinstance(message, VoterReply):
+            self.calls.receive_vote(sender, message, self.play.world.now)
             self.tick()
 
     def tick(self) -> None:
         self.calls.tick(self.play.world.now)
         if self.calls.pending:
-            self.host.later(max(self.calls.due(), self.play.world.now + 0.5), self.tick)
+            self.host.later(max(self.calls.next_due(), self.play.world.now + 0.5), self.tick)
 
 
 class Changer(Client):
@@ -143,17 +145,17 @@
         play, random = self.play, self.play.world.random
         if play.left <= 0:
             return
-        now, there = list(self.proposer.roster.names), sorted(play.nodes)
+        now, there = list(self.proposer.voter_set.names), sorted(play.nodes)
         drop, add = [random.choice(now)], [random.choice(there)]
         if random.random() < 0.2:
             drop, add = [], []  # ends what stands half-way, as any member does after a while
         self.number = getattr(self, "number", 0) + 1
         token = f"{self.proposer.proposer_id}:{self.number}"
-        self.calls.start(reseat(self.proposer, drop, add, token), self.ended, play.world.now)
+        self.calls.start(reconfigure(self.proposer, drop, add, token), self.ended, play.world.now)
         self.tick()
 
-    def ended(self, how: Reseated, now: float) -> None:
-        self.play.reseated += not how.wrong
+    def ended(self, how: ReconfigurationResult, now: float) -> None:
+        self.play.reseated += not how.error
         self.host.later(now + self.play.world.random.uniform(0.0, 20.0), self.next)
 
 
@@ -231,7 +233,7 @@
                 else:
                     world.slow[link] = (world.now + ms, 60.0)
         elif node.host.up and all(
-            one.host.up and one.voter is not None and one.voter.voter.voting for one in self.voters()
+            one.host.up and one.voter is not None and one.voter.voter.is_voting for one in self.voters()
         ):
             # One memory lost at a time: what two have lost together nobody can know.
             node.die()
@@ -244,7 +246,7 @@
             world.at(world.now + ms, lambda: node.start(self.trusted or self.forget))
         world.at(world.now + random.expovariate(1.0 / 25.0), self.fault)
 
-    def roster(self) -> Roster:
+    def roster(self) -> VoterSet:
         return newest(one.voter.voter for one in self.nodes.values() if one.voter is not None)
 
     def voters(self) -> list[Node]:
@@ -280,7 +282,7 @@
 
 def stale_read(client: Client) -> None:
     """Planted: a read believes what a majority says at once."""
-    client.proposer.read = client.proposer.glance  # type: ignore[method-assign]
+    client.proposer.read = client.proposer.read_unverified  # type: ignore[method-assign]
 
 
 def ballot_again(client: Client) -> None:
--- a/rig/multi_node/register_model_check.py
+++ b/rig/multi_node/register_model_check.py
@@ -64,7 +64,7 @@
         key = (side, PACK.encode(resumed))
         if key not in self.steps:
             proposer = Proposer(f"p{side}", ROSTER, lambda: 0.5, max_attempts=self.tries)
-            call = proposer.change("k", EMPTY_RECORD, b"%d" % side)
+            call = proposer.compare_and_set("k", EMPTY_RECORD, b"%d" % side)
             asked: list[Prepare | Accept] = []
             outcome = None
             try:
--- a/rig/processes/backend_process.py
+++ b/rig/processes/backend_process.py
@@ -41,7 +41,7 @@
         return host, int(probe.getsockname()[1])
 
 
-def settings(facts: interface.StartFacts) -> dict[str, Any]:
+def settings(settings: interface.ControllerSettings) -> dict[str, Any]:
     """StartFacts as the platform's configuration would say them; times in microseconds."""
 
     def us(ms: float) -> int:
@@ -56,36 +56,36 @@
             "worth": g.benefit,
             "lateWorth": g.late_benefit,
         }
-        for g in facts.groups
+        for g in settings.groups
     ]
-    tenants = [{"name": t.name, "share": t.share, "allowancePerS": t.per_second} for t in facts.tenants]
+    tenants = [{"name": t.name, "share": t.share, "allowancePerS": t.per_second} for t in settings.tenants]
     return {
         "categories": categories,
         "tenants": tenants,
-        "overShareWorth": facts.over_share_benefit,
-        "replicasOfMe": facts.backends,
-        "granularity": us(facts.clock_granularity),
+        "overShareWorth": settings.over_share_benefit,
+        "replicasOfMe": settings.backends,
+        "granularity": us(settings.clock_granularity),
         "domain": {
-            "cores": facts.cores,
-            "memoryKb": facts.memory_kb,
-            "blowup": facts.running_memory_multiple,
+            "cores": settings.cores,
+            "memoryKb": settings.memory_kb,
+            "blowup": settings.running_memory_multiple,
             "halt": "drop",
             "signal": "tokens",
-            "heeded": us(facts.published_value_lifetime),
-            "idle": us(facts.idle),
+            "heeded": us(settings.published_value_lifetime),
+            "idle": us(settings.idle_timeout),
             "passesDeadline": True,
             "gauges": list(GAUGES),
-            "upstreams": facts.callers,
+            "upstreams": settings.callers,
         },
         "guarantees": {
-            "fallMultiple": facts.survivable_concurrency_per_core,
-            "fall": us(facts.survivable_concurrency_window),
-            "coldFrom": facts.cold_capacity,
-            "warmWithin": us(facts.warm_up_time),
-            "stopSendingWithin": us(facts.drain_grace),
-            "answerSlack": us(facts.answer_slack),
+            "fallMultiple": settings.survivable_concurrency_per_core,
+            "fall": us(settings.survivable_concurrency_window),
+            "coldFrom": settings.cold_capacity,
+            "warmWithin": us(settings.warm_up_time),
+            "stopSendingWithin": us(settings.drain_grace),
+            "answerSlack": us(settings.answer_slack),
         },
-        "bounds": {"retryAfter": True, "maxRetryAfter": us(facts.max_retry_after)},
+        "bounds": {"retryAfter": True, "maxRetryAfter": us(settings.max_retry_after)},
     }
 
 
@@ -164,7 +164,7 @@
         self,
         number: int,
         clock: RealClock,
-        facts: interface.StartFacts,
+        facts: interface.ControllerSettings,
         build: Build,
         rules: Rules,
         cold: bool,
@@ -295,11 +295,11 @@
                             f"greeting {state} {self.clock.now - self.machine.born:.0f}\r\n".encode()
                         )
                         link.sendall(b"".join(self.notices[int(number) + 1 :]))
-                    case ["launch", ident, _, length]:
+                    case ["launch", exchange_id, _, length]:
                         file.read(int(length) + 2)
-                        self.clock.after(0.0, lambda ident=ident: self.launch(ident))  # type: ignore[misc]
-                    case ["freeze", ident]:
-                        self.clock.after(0.0, lambda ident=ident: self.freeze(ident))  # type: ignore[misc]
+                        self.clock.after(0.0, lambda ident=exchange_id: self.launch(ident))  # type: ignore[misc]
+                    case ["freeze", exchange_id]:
+                        self.clock.after(0.0, lambda ident=exchange_id: self.freeze(ident))  # type: ignore[misc]
                     case ["sample", tag]:
                         g = self.machine.gauges()
                         values = (
@@ -309,10 +309,10 @@
         except OSError:
             pass
 
-    def notify(self, ident: str, end: str, took: float) -> None:
+    def notify(self, exchange_id: str, end: str, took: float) -> None:
         number = len(self.notices)
         result = b"result" if end == "PASS" else b""
-        head = f"outcome {number} {ident} {end} {took:.3f} {len(result)}\r\n"
+        head = f"outcome {number} {exchange_id} {end} {took:.3f} {len(result)}\r\n"
         self.notices.append(head.encode() + result + b"\r\n")
         if self.link is not None:
             try:
--- a/rig/processes/fleet.py
+++ b/rig/processes/fleet.py
@@ -163,11 +163,11 @@
 
 def _operators(scene: Scene) -> str:
     text = ""
-    for section, bounds in (("repeats", scene.repeats), ("accepting", scene.accepting)):
+    for section, options in (("repeats", scene.repeats), ("accepting", scene.accepting)):
         text += f"[{section}]\n"
-        if bounds is None:
+        if options is None:
             text += "on = false\n"
             continue
-        for one in fields(bounds):
-            text += f"{one.name} = {str(getattr(bounds, one.name)).lower()}\n"
+        for one in fields(options):
+            text += f"{one.name} = {str(getattr(options, one.name)).lower()}\n"
     return text
--- a/rig/processes/ownership_experiment.py
+++ b/rig/processes/ownership_experiment.py
@@ -139,15 +139,15 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": SETTINGS,
         }
-        self.config, self.operators = folder / f"{name}.json", folder / f"{name}.toml"
+        self.config, self.operators_file = folder / f"{name}.json", folder / f"{name}.toml"
         self.config.write_text(json.dumps(conf))
-        self.operators.write_text(operators)
-        self.wall = folder / f"{name}.wall"  # by how many seconds its wall clock is off
-        self.wall_leases = False  # a planted bug
+        self.operators_file.write_text(operators)
+        self.wall_clock_file = folder / f"{name}.wall"  # by how many seconds its wall clock is off
+        self.uses_wall_clock_leases = False  # a planted bug
         self.log = open(folder / f"{name}.log", "ab")  # noqa: SIM115 - open as long as the play
 
     def command(self, *words: str) -> list[str]:
-        return [sys.executable, "-m", "myrtlecrank", *words, "--operators", str(self.operators)]
+        return [sys.executable, "-m", "myrtlecrank", *words, "--operators", str(self.operators_file)]
 
     def found(self) -> None:
         words = self.command("fleet", "found", self.name)
@@ -156,8 +156,8 @@
     def start(self) -> None:
         if self.process is None:
             serve = self.command("serve", str(self.config))
-            bug = ["--wall-leases"] if self.wall_leases else []
-            serve[2:3] = ["rig.processes.stepped_clock", *bug, str(self.wall)]
+            bug = ["--wall-leases"] if self.uses_wall_clock_leases else []
+            serve[2:3] = ["rig.processes.stepped_clock", *bug, str(self.wall_clock_file)]
             self.process = subprocess.Popen(
                 serve, cwd=ROOT, stdout=self.log, stderr=self.log, env={**os.environ, "PYTHONPATH": str(ROOT)}
             )
@@ -166,14 +166,14 @@
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         process, self.process = self.process, None
         if process is not None:
             process.kill()
             process.wait()
 
 
-class RealPlay:
+class OwnershipRun:
     """`trusted`: voters vote at once after a restart, as their folder lasts here; else they ask all others
     first."""
 
@@ -189,16 +189,20 @@
     ) -> None:
         self.trusted = trusted
         self.seed, self.random, self.folder = seed, Random(seed), folder
-        self.stands = Stands(fence)
+        self.stand_ins = Stands(fence)
         names = [f"n{i}" for i in range(members)]
         self.voters = names[:voters]
-        self.homes = homes = {name: free_address(seed % 1000 + 40 + i) for i, name in enumerate(names)}
+        self.member_addresses = homes = {
+            name: free_address(seed % 1000 + 40 + i) for i, name in enumerate(names)
+        }
         # Of a pair the one whose name comes first connects, through the proxy of that pair.
         self.links = {(a, b): Proxy(homes[b]) for a in names for b in names if a < b}
-        self.sinks = {name: Proxy(self.stands.sink) for name in names}  # each one's way to the resource
+        self.resource_links = {
+            name: Proxy(self.stand_ins.sink) for name in names
+        }  # each one's way to the resource
         self.duties = [f"duty-{i}" for i in range(duties)]
         self.backends = {
-            name: Backend(name, folder, self.stands, self._operators(name, names, homes), seed)
+            name: Backend(name, folder, self.stand_ins, self._operators(name, names, homes), seed)
             for name in names
         }
         self.script: list[tuple[float, str, str, float]] = []
@@ -228,7 +232,7 @@
             at = homes[name] if link is None else link.address
             lines += [f"[fleet.members.{name}]", f'at = "{at[0]}:{at[1]}"', f'zone = "z{i % 3}"']
         for duty in self.duties:
-            sink = self.sinks[me].address
+            sink = self.resource_links[me].address
             lines += [f"[fleet.duties.{duty}]", f'to = "{sink[0]}:{sink[1]}"', f"every_ms = {STEP_MS:g}"]
         return "\n".join(lines) + "\n"
 
@@ -245,21 +249,21 @@
         others = [name for name in self.backends if name != backend.name]
         side = {backend.name, *self.random.sample(others, len(others) // 2)}
         delay = self.random.uniform(0.05, 1.5) * LEASE_MS / 1000.0
-        self.script.append((round(self.stands.now(), 1), kind, backend.name, round(seconds * 1000.0, 1)))
+        self.script.append((round(self.stand_ins.now(), 1), kind, backend.name, round(seconds * 1000.0, 1)))
         if kind in ("kill", "term", "lost-disk"):
             gevent.spawn(self._away, backend, kind, seconds)
         elif kind == "stop":
             gevent.spawn(self._stop, backend, seconds)
         elif kind == "clock":
-            backend.wall.write_text(str(self.random.choice([-3600, 3600])))
+            backend.wall_clock_file.write_text(str(self.random.choice([-3600, 3600])))
         elif kind == "replace":
             drop = self.random.choice(self.voters)
             add = self.random.choice([drop, *(name for name in self.backends if name not in self.voters)])
             gevent.spawn(self._replace, backend.name, drop, add)
         elif kind == "half":
-            self.apart(side, seconds)
+            self.partition(side, seconds)
         elif kind in ("freeze-in", "freeze-out"):
-            self.deaf(backend.name, seconds, kind == "freeze-out")
+            self.freeze_one_way(backend.name, seconds, kind == "freeze-out")
         for link, _ in self.links_of(backend.name):
             if kind == "cut":
                 link.cut(seconds)
@@ -287,8 +291,8 @@
         new = [name for name in self.voters if name != drop or name == add]
         new += [add] if add not in new else []
         before, self.rosters = self.rosters, [*self.rosters, set(new)]
-        done = self.told("replace-voters", "--drop", drop, "--add", add, "--at", at)
-        asked = self.told("voters", "--json", "--at", at) if done.returncode == 0 else done
+        done = self.run_fleet_command("replace-voters", "--drop", drop, "--add", add, "--at", at)
+        asked = self.run_fleet_command("voters", "--json", "--at", at) if done.returncode == 0 else done
         self.replacing = False
         if asked.returncode == 0:
             self.voters = [row["voter"] for row in json.loads(asked.stdout) if row["state"] == "votes"]
@@ -301,7 +305,7 @@
         """From outside: which processes run, and between which of them a connection stands that lets through
         within a round."""
         while True:
-            self.away.look(self.stands.now(), any(self._reaches(name) for name in self.backends))
+            self.away.look(self.stand_ins.now(), any(self._reaches(name) for name in self.backends))
             gevent.sleep(0.025)
 
     def _reaches(self, name: str) -> bool:
@@ -318,13 +322,13 @@
         process = self.backends[name].process
         return process is not None and process.poll() is None and name not in self.stopped
 
-    def apart(self, side: set[str], seconds: float) -> None:
+    def partition(self, side: set[str], seconds: float) -> None:
         """Nothing comes through between these members and the others; connections are kept."""
         for (a, b), link in self.links.items():
             if (a in side) != (b in side):
                 link.freeze(seconds)
 
-    def deaf(self, name: str, seconds: float, hears: bool) -> None:
+    def freeze_one_way(self, name: str, seconds: float, hears: bool) -> None:
         """One way: it hears the others and none hears it, or the other way round."""
         for link, connects in self.links_of(name):
             link.freeze(seconds, out=connects == hears, back=connects != hears)
@@ -333,7 +337,7 @@
         if kind == "term":
             backend.signal(signal.SIGTERM)
             gevent.sleep(1.0)
-        backend.end()
+        backend.kill()
         # One memory lost at a time: what two have lost together nobody can know.
         alone = all(b.process is not None for b in self.backends.values() if b is not backend)
         if kind == "lost-disk" and backend.name in self.voters and alone and not self.lost:
@@ -342,7 +346,7 @@
         gevent.sleep(seconds)
         backend.start()
 
-    def told(self, *words: str, by: str = "n0") -> subprocess.CompletedProcess[str]:
+    def run_fleet_command(self, *words: str, by: str = "n0") -> subprocess.CompletedProcess[str]:
         """What `myrtlecrank fleet ...` says with one member's file, without holding the rig's own loop."""
         command = self.backends[by].command("fleet", *words)
         found: Any = gevent.get_hub().threadpool.apply(
@@ -355,13 +359,13 @@
 
     # -- the play
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """All up, each voter votes and each duty has an owner; raises gevent.Timeout."""
         for name in self.voters:
             self.backends[name].found()
         for backend in self.backends.values():
             backend.start()
-        self.wait(lambda: len(self.stands.resource.last) == len(self.duties))
+        self.wait(lambda: len(self.stand_ins.resource.last) == len(self.duties))
         if self.trusted:
             return
         # A voter that comes up asks all others: one that is gone before the last has its answer holds that
@@ -377,20 +381,20 @@
 
     def owner(self, duty: str) -> str:
         """Whose effect was taken last, as the resource saw it."""
-        return next(t.owner for t in reversed(self.stands.resource.taken) if t.duty == duty).split("/")[0]
+        return next(t.owner for t in reversed(self.stand_ins.resource.taken) if t.duty == duty).split("/")[0]
 
-    def finish(self) -> None:
+    def stop(self) -> None:
         for backend in self.backends.values():
             backend.signal(signal.SIGCONT)
-            backend.end()
+            backend.kill()
             backend.log.close()
-        for link in [*self.links.values(), *self.sinks.values()]:
+        for link in [*self.links.values(), *self.resource_links.values()]:
             link.close()
 
     def run(self, seconds: float, every: float) -> Played:
-        resource, stands = self.stands.resource, self.stands
+        resource, stands = self.stand_ins.resource, self.stand_ins
         try:
-            self.begin()
+            self.start()
             began = stands.now()
             looks = gevent.spawn(self.look_around)
             last_fault = began + seconds * 1000.0 - 7000.0
@@ -402,7 +406,7 @@
                     gevent.sleep(0.2)
             looks.kill()
         finally:
-            self.finish()
+            self.stop()
         end = stands.now()
         usual = 4.0 * STEP_MS
         gaps = resource.gaps(began, end, self.duties)
@@ -453,7 +457,7 @@
     with tempfile.TemporaryDirectory() as usual:
         folder = keep or Path(usual)
         folder.mkdir(parents=True, exist_ok=True)
-        one = RealPlay(seed, members, voters, duties, fence, folder, trusted)
+        one = OwnershipRun(seed, members, voters, duties, fence, folder, trusted)
         for backend in one.backends.values():
-            backend.wall_leases = wall_leases
+            backend.uses_wall_clock_leases = wall_leases
         return one.run(seconds, every)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,28 +5,30 @@
 from typing import Any
 
 from myrtlecrank.core.actor import Core
-from myrtlecrank.core.messages import Answer, Arrived, Greeted, Ticket
+from myrtlecrank.core.messages import AgentConnected, Answer, ExchangeArrived, ExchangeRequest
 from myrtlecrank.frames import codec
 from myrtlecrank.policy import interface
 from myrtlecrank.policy.controller import Controller
 
 
-def group(kind: interface.Kind = interface.Kind.REPEATABLE, **facts: Any) -> interface.EndpointGroup:
-    """An endpoint group with usual times; `facts` replace its fields."""
+def group(
+    kind: interface.EffectKind = interface.EffectKind.REPEATABLE, **fields: Any
+) -> interface.EndpointGroup:
+    """An endpoint group with usual times; `fields` replace its fields."""
     values: dict[str, Any] = {"slo": 1000.0, "timeout": 4000.0, "benefit": 1.0, "late_benefit": 0.2}
     values["deduplication_window"] = 5000.0
-    return interface.EndpointGroup("group", kind, **(values | facts))
+    return interface.EndpointGroup("group", kind, **(values | fields))
 
 
-def backend(*groups: interface.EndpointGroup, **others: Any) -> tuple[Controller, list[Any]]:
+def new_controller(*groups: interface.EndpointGroup, **others: Any) -> tuple[Controller, list[Any]]:
     """A started controller and the list to which its operations go."""
     ops: list[Any] = []
-    controller = Controller(facts(*groups, **others), ops.append, 0.0)
+    controller = Controller(backend_settings(*groups, **others), ops.append, 0.0)
     ops.clear()
     return controller, ops
 
 
-FACTS: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "seed": 1,
     "cores": 4,
     "memory_kb": 10_000.0,
@@ -45,64 +47,80 @@
 }
 
 
-def arrival(left: float | None = 4000.0, kb: float = 10.0, **facts: Any) -> interface.Exchange:
+def arrival(
+    remaining_time: float | None = 4000.0, memory_kb: float = 10.0, **fields: Any
+) -> interface.Exchange:
     """An exchange that has just arrived."""
-    return interface.Exchange(**({"group": 0, "left": left, "waited": 0.0, "kb": kb} | facts))
+    return interface.Exchange(
+        **({"group": 0, "remaining_time": remaining_time, "read_delay": 0.0, "memory_kb": memory_kb} | fields)
+    )
 
 
-def arrive(controller: Controller, now: float, **facts: Any) -> interface.Exchange:
+def arrive(controller: Controller, now: float, **fields: Any) -> interface.Exchange:
     """Hands an exchange to the controller in a batch of its own."""
-    exchange = arrival(**facts)
+    exchange = arrival(**fields)
     controller.arrived(exchange, now)
     controller.settle(now)
     return exchange
 
 
-def of(ops: list[Any], kind: type, ex: interface.Exchange | None = None) -> list[Any]:
+def operations_of(ops: list[Any], kind: type, exchange: interface.Exchange | None = None) -> list[Any]:
     """The operations of one type, for all exchanges or for one."""
-    return [op for op in ops if isinstance(op, kind) and (ex is None or op.exchange is ex)]
+    return [op for op in ops if isinstance(op, kind) and (exchange is None or op.exchange is exchange)]
 
 
-def answers(ops: list[Any], ex: interface.Exchange) -> list[Any]:
+def answers_to(ops: list[Any], exchange: interface.Exchange) -> list[Any]:
     """The operations that answer the exchange without a run."""
-    return of(ops, interface.Deny, ex) + of(ops, interface.Fail, ex)
+    return operations_of(ops, interface.Deny, exchange) + operations_of(ops, interface.Fail, exchange)
 
 
-def facts(*groups: interface.EndpointGroup, **others: Any) -> interface.StartFacts:
-    """The start facts of a small backend; `others` replace its fields."""
-    return interface.StartFacts(groups=list(groups) or [group()], **(FACTS | others))
+def backend_settings(*groups: interface.EndpointGroup, **others: Any) -> interface.ControllerSettings:
+    """The settings of a small backend; `others` replace its fields."""
+    return interface.ControllerSettings(groups=list(groups) or [group()], **(SETTINGS | others))
 
 
-class Play:
+class CoreHarness:
     """A core actor, without sockets, whose agent and membership list are played by the test."""
 
-    def __init__(self, *groups: interface.EndpointGroup, greeted: bool = True, **others: Any) -> None:
-        self.commanded: list[Any] = []
+    def __init__(self, *groups: interface.EndpointGroup, agent_connected: bool = True, **others: Any) -> None:
+        self.sent_commands: list[Any] = []
         self.health: list[bool] = []
         self.answers: list[Answer] = []
-        start_facts = facts(*groups, **others)
-        self.core = Core(start_facts, 3200.0, self.commanded.append, self.health.append, now=0.0)
-        if greeted:
-            self.turn(0.0, Greeted(False, 1000.0))
+        settings = backend_settings(*groups, **others)
+        self.core = Core(settings, 3200.0, self.sent_commands.append, self.health.append, now=0.0)
+        if agent_connected:
+            self.process_batch(0.0, AgentConnected(False, 1000.0))
 
-    def turn(self, now: float, *events: Any) -> None:
+    def process_batch(self, now: float, *events: Any) -> None:
         """Processes the events in one batch at the time `now`."""
         self.core.process_batch(list(events), now)
 
-    def ask(self, ident: str, now: float, **changes: Any) -> Ticket:
+    def submit(self, exchange_id: str, now: float, **changes: Any) -> ExchangeRequest:
         """Submits an exchange; `changes` replace its fields."""
-        values: dict[str, Any] = {"group": 0, "tenant": 0, "reached": now, "wait": 4000.0, "kb": 10.0}
-        values |= {"rank": 0.0, "caller": 1, "about": "", "body": b"body", "answer": self.answers.append}
-        ticket = Ticket(ident, **(values | changes))
-        self.turn(now, Arrived(ticket))
-        return ticket
+        values: dict[str, Any] = {
+            "group": 0,
+            "tenant": 0,
+            "arrived_at": now,
+            "caller_timeout": 4000.0,
+            "kb": 10.0,
+        }
+        values |= {
+            "rank": 0.0,
+            "caller": 1,
+            "result_key": "",
+            "body": b"body",
+            "send_answer": self.answers.append,
+        }
+        request = ExchangeRequest(exchange_id, **(values | changes))
+        self.process_batch(now, ExchangeArrived(request))
+        return request
 
     def commands(self, kind: type) -> list[Any]:
         """The commands of one type that the actor has sent to the agent."""
-        return [command for command in self.commanded if isinstance(command, kind)]
+        return [command for command in self.sent_commands if isinstance(command, kind)]
 
 
-def ask_bytes(stream: int, body: bytes = b"body", doubled: str = "", **changes: str | None) -> bytes:
+def exchange_frame(stream: int, body: bytes = b"body", doubled: str = "", **changes: str | None) -> bytes:
     """A frame with an exchange as a caller sends it; the field named `doubled` stands in it twice."""
     values = {"c": "group", "i": f"{stream:016x}", "s": "1764576000123", "f": "4", "t": "acme", "d": "480"}
     values |= {"m": "24.5", "p": "0.625"}
--- a/tests/test_agent_client.py
+++ b/tests/test_agent_client.py
@@ -9,10 +9,19 @@
 from gevent import socket
 
 from myrtlecrank.agent import codec
-from myrtlecrank.agent.client import MAX_SILENT_TICKS, Link
-from myrtlecrank.core.connection_errors import End
+from myrtlecrank.agent.client import MAX_SILENT_TICKS, AgentClient
+from myrtlecrank.core.connection_errors import CloseReason
 from myrtlecrank.core.mailbox import Mailbox
-from myrtlecrank.core.messages import Freeze, Greeted, Launch, Parted, RunEnded, Sample, Sampled, Unsent
+from myrtlecrank.core.messages import (
+    AgentConnected,
+    AgentDisconnected,
+    CancelRun,
+    GaugesSampled,
+    RunEnded,
+    SampleGauges,
+    StartRun,
+    StartsNotSent,
+)
 from myrtlecrank.frames.ring_buffer import RingBuffer
 from myrtlecrank.policy.interface import Gauges, Outcome
 
@@ -28,7 +37,7 @@
 
 def decode_events(*pieces: bytes) -> list[Any]:
     events: list[Any] = []
-    client = Link(("127.0.0.1", 1), ["cpu", "on_cores", "memory", "connections"], events.append)
+    client = AgentClient(("127.0.0.1", 1), ["cpu", "on_cores", "memory", "connections"], events.append)
     buffer = RingBuffer()
     for piece in pieces:
         buffer.append(piece)
@@ -41,12 +50,12 @@
 def test_notices_are_the_same_however_their_bytes_are_split(piece_bytes: int) -> None:
     events = decode_events(*(NOTICES[i : i + piece_bytes] for i in range(0, len(NOTICES), piece_bytes)))
     assert events == [
-        Greeted(True, 12.5),
+        AgentConnected(True, 12.5),
         RunEnded("aa", Outcome.OK, 30.5, RESULT),
         RunEnded("bb", Outcome.CANCELLED, 7.0, b""),
-        Sampled("b1", Gauges(0.5, 3.0, 0.25, 12.0)),
-        RunEnded("cc", Outcome.MOOT, 0.0, b"", refused=True),
-        RunEnded("dd", Outcome.MOOT, 0.0, b""),
+        GaugesSampled("b1", Gauges(0.5, 3.0, 0.25, 12.0)),
+        RunEnded("cc", Outcome.NOT_STARTED, 0.0, b"", refused=True),
+        RunEnded("dd", Outcome.NOT_STARTED, 0.0, b""),
     ]
 
 
@@ -78,9 +87,9 @@
 
 
 def test_commands_are_encoded() -> None:
-    assert codec.encode_command(Launch("aa", "group", b"x\r\n")) == b"launch aa group 3\r\nx\r\n\r\n"
+    assert codec.encode_command(StartRun("aa", "group", b"x\r\n")) == b"launch aa group 3\r\nx\r\n\r\n"
     assert (
-        codec.encode_command(Freeze("aa")) + codec.encode_command(Sample("b1"))
+        codec.encode_command(CancelRun("aa")) + codec.encode_command(SampleGauges("b1"))
         == b"freeze aa\r\nsample b1\r\n"
     )
     assert codec.encode_subscribe(7) == b"subscribe 7\r\n"
@@ -111,19 +120,21 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        client = Link(listener.getsockname(), [], messages.post)
+        client = AgentClient(listener.getsockname(), [], messages.post)
         actors = [gevent.spawn(serve_greetings, listener), gevent.spawn(client.run)]
-        assert messages.take() == [Greeted(True, 9000.0)]
+        assert messages.take() == [AgentConnected(True, 9000.0)]
         connections[0][0].sendall(b"aside 7 hello\r\n")
         while client.last_notice != 7:
             gevent.sleep(0)
         clock_s[0] += 3.9  # the next greeting is read 0.9 s late, which is not a restart
         connections[0][0].close()
-        assert messages.take() == [Parted(End.CLOSED)] and messages.take() == [Greeted(True, 12_000.0)]
+        assert messages.take() == [AgentDisconnected(CloseReason.CLOSED_BY_PEER)] and messages.take() == [
+            AgentConnected(True, 12_000.0)
+        ]
         clock_s[0] += 2.0
         connections[1][0].close()
-        assert messages.take() == [Parted(End.CLOSED)] and messages.take() == [
-            Greeted(True, 1510.0, anew=True)
+        assert messages.take() == [AgentDisconnected(CloseReason.CLOSED_BY_PEER)] and messages.take() == [
+            AgentConnected(True, 1510.0, restarted=True)
         ]
         assert [first_line for _, first_line in connections] == [
             b"subscribe %d\r\n" % n for n in (0, 7, 7, 0)
@@ -139,20 +150,23 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        client = Link(listener.getsockname(), [], messages.post)
+        client = AgentClient(listener.getsockname(), [], messages.post)
         actors = [
             gevent.spawn(serve_agent, listener, connections),
             gevent.spawn(client.run),
-            gevent.spawn(client.write),
+            gevent.spawn(client.write_commands),
         ]
-        assert messages.take() == [Greeted(False, 5.0)]
-        client.mailbox.post(Launch("aa", "group", b"x"))
+        assert messages.take() == [AgentConnected(False, 5.0)]
+        client.mailbox.post(StartRun("aa", "group", b"x"))
         for _ in range(MAX_SILENT_TICKS + 1):
-            client.look(0.0)
+            client.check_silence(0.0)
         events = [message for _ in range(2) for message in messages.take()]
         while len(events) < 3:
             events += messages.take()
-        assert set(map(type, events[:2])) == {Unsent, Parted} and Unsent(["aa"]) in events
+        assert (
+            set(map(type, events[:2])) == {StartsNotSent, AgentDisconnected}
+            and StartsNotSent(["aa"]) in events
+        )
         gevent.killall(actors)
 
 
@@ -173,15 +187,17 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        client = Link(listener.getsockname(), [], messages.post)
+        client = AgentClient(listener.getsockname(), [], messages.post)
         actors = [gevent.spawn(serve_greetings, listener), gevent.spawn(client.run)]
-        assert messages.take() == [Greeted(False, 9000.0)]
+        assert messages.take() == [AgentConnected(False, 9000.0)]
         connections[0][0].sendall(b"aside 7 hello\r\n")
         while client.last_notice != 7:
             gevent.sleep(0)
         clock_s[0] += 0.1
         connections[0][0].close()
-        assert messages.take() == [Parted(End.CLOSED)] and messages.take() == [Greeted(False, 9100.0)]
+        assert messages.take() == [AgentDisconnected(CloseReason.CLOSED_BY_PEER)] and messages.take() == [
+            AgentConnected(False, 9100.0)
+        ]
         assert [first_line for _, first_line in connections] == [b"subscribe 0\r\n", b"subscribe 7\r\n"]
         gevent.killall(actors)
 
@@ -193,27 +209,27 @@
     with gevent.Timeout(30), socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        client = Link(listener.getsockname(), [], messages.post)
+        client = AgentClient(listener.getsockname(), [], messages.post)
         actors = [
             gevent.spawn(serve_agent, listener, connections),
             gevent.spawn(client.run),
-            gevent.spawn(client.write),
+            gevent.spawn(client.write_commands),
         ]
-        assert messages.take() == [Greeted(False, 5.0)]
+        assert messages.take() == [AgentConnected(False, 5.0)]
         connections[0][0].sendall(b"outcome 9 aa FAIL 1 0\r\n\r\n")
         assert messages.take() == [RunEnded("aa", Outcome.ERROR, 1.0, b"")]
         if hangs:
             for _ in range(MAX_SILENT_TICKS):
                 assert client.sock
-                client.look(0.0)
+                client.check_silence(0.0)
             assert client.drop_reason is None
-            client.look(0.0)
+            client.check_silence(0.0)
         else:
             connections[0][0].close()
         end = messages.take()
-        assert end == [Parted(End.SILENT if hangs else End.CLOSED)]
-        assert messages.take() == [Greeted(False, 5.0)]
+        assert end == [AgentDisconnected(CloseReason.UNRESPONSIVE if hangs else CloseReason.CLOSED_BY_PEER)]
+        assert messages.take() == [AgentConnected(False, 5.0)]
         assert [first_line for _, first_line in connections] == [b"subscribe 0\r\n", b"subscribe 9\r\n"]
-        client.mailbox.post(Sample("b2"))
+        client.mailbox.post(SampleGauges("b2"))
         assert connections[1][0].recv(100) == b"sample b2\r\n"
         gevent.killall(actors)
--- a/tests/test_dependency_client.py
+++ b/tests/test_dependency_client.py
@@ -10,32 +10,32 @@
 import pytest
 from gevent import socket
 from gevent.event import Event
-from helpers import Play, group
+from helpers import CoreHarness, group
 
 from myrtlecrank.agent.codec import OutcomeNotice, RequestNotice, decode_notices, encode_command
-from myrtlecrank.core.connection_errors import End
+from myrtlecrank.core.connection_errors import CloseReason
 from myrtlecrank.core.mailbox import Mailbox
 from myrtlecrank.core.messages import (
-    Abandon,
-    AtCall,
-    Call,
+    AgentConnected,
+    AgentDisconnected,
     CallEnded,
-    CallersLeft,
-    Deliver,
-    Forgo,
-    Greeted,
-    Launch,
-    Leave,
-    Parted,
+    CallRequested,
+    CancelCall,
+    DeliverCallResult,
+    DrainRequested,
+    ExchangesAbandoned,
+    GaugesSampled,
     RunEnded,
-    Sample,
-    Sampled,
+    SampleGauges,
+    SkipCall,
+    StartCall,
+    StartRun,
     Verdict,
 )
 from myrtlecrank.dependency import codec
-from myrtlecrank.dependency.client import MAX_OVERDUE_TICKS, BelowLink
+from myrtlecrank.dependency.client import MAX_OVERDUE_TICKS, DependencyClient
 from myrtlecrank.frames.ring_buffer import RingBuffer
-from myrtlecrank.policy.interface import Below, Gauges, Kind, Outcome
+from myrtlecrank.policy.interface import DependencyKind, EffectKind, Gauges, Outcome
 
 FORGED = b"x\r\noutcome 9 ff PASS 1 0\r\n\r\nrequest 10 ee 1\r\nq"
 WAIT_S = 10.0
@@ -52,11 +52,11 @@
 
 
 def test_commands_are_encoded_and_replies_decoded() -> None:
-    assert codec.encode_command(Call("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
-    assert codec.encode_command(Call("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
-    assert codec.encode_command(Abandon("aa")) == b"UNOP aa\r\n"
+    assert codec.encode_command(StartCall("aa", 20.7, b"x\r\n")) == b"OP aa 20 3\r\nx\r\n\r\n"
+    assert codec.encode_command(StartCall("aa", 0.2, b"")) == b"OP aa 1 0\r\n\r\n"
+    assert codec.encode_command(CancelCall("aa")) == b"UNOP aa\r\n"
     assert (
-        encode_command(Deliver("aa", b"x\r\n")) + encode_command(Forgo("aa"))
+        encode_command(DeliverCallResult("aa", b"x\r\n")) + encode_command(SkipCall("aa"))
         == b"deliver aa 3\r\nx\r\n\r\nforgo aa\r\n"
     )
     buffer = RingBuffer()
@@ -65,7 +65,7 @@
     )
     assert [(r.exchange_id, r.outcome, r.result) for r in codec.decode_replies(buffer)] == [
         ("aa", Outcome.OK, b"x\r\n"),
-        ("bb", Outcome.FULL, b""),
+        ("bb", Outcome.REJECTED, b""),
         ("cc", Outcome.ERROR, b""),
         ("dd", Outcome.TIMEOUT, b""),
         ("ee", Outcome.ERROR, b""),
@@ -87,7 +87,7 @@
     def __init__(self) -> None:
         self.messages: Mailbox[Any] = Mailbox(100)
         self.listener, self.address = self.listen()
-        self.client = BelowLink(self.address, self.messages.post, 1000.0)
+        self.client = DependencyClient(self.address, self.messages.post, 1000.0)
         self.writer = gevent.spawn(self.client.run)
 
     def listen(self) -> tuple[Any, Any]:
@@ -113,14 +113,14 @@
 
 
 def test_calls_share_a_connection_and_are_answered_in_any_order(dependency: StandInDependency) -> None:
-    for ident in ("aa", "bb"):
-        dependency.client.mailbox.post(Call(ident, 900.0, b"q"))
+    for exchange_id in ("aa", "bb"):
+        dependency.client.mailbox.post(StartCall(exchange_id, 900.0, b"q"))
     sock = dependency.accept()
     assert sock.recv(100) == b"OP aa 900 1\r\nq\r\nOP bb 900 1\r\nq\r\n"
     sock.sendall(b"bb DONE 1\r\nr\r\naa WAIT 5\r\nbb DONE 1\r\nr\r\n")
     assert dependency.messages.take() == [
         CallEnded("bb", Outcome.OK, b"r"),
-        CallEnded("aa", Outcome.FULL, b""),
+        CallEnded("aa", Outcome.REJECTED, b""),
     ]
 
 
@@ -128,33 +128,33 @@
 def test_lost_connection_ends_its_pending_calls_and_the_next_call_opens_another(
     dependency: StandInDependency, invalid: bytes
 ) -> None:
-    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("aa", 900.0, b"q"))
     sock = dependency.accept()
     sock.recv(100)
     sock.sendall(invalid)
     if not invalid:
         sock.close()
     (end,) = dependency.messages.take()
-    assert end.ident == "aa" and end.outcome in (Outcome.RESET, Outcome.ERROR)
-    dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+    assert end.exchange_id == "aa" and end.outcome in (Outcome.RESET, Outcome.ERROR)
+    dependency.client.mailbox.post(StartCall("bb", 900.0, b"q"))
     assert dependency.accept().recv(100).startswith(b"OP bb")
 
 
 def test_call_without_a_reachable_dependency_is_unreached(dependency: StandInDependency) -> None:
     dependency.listener.close()
-    dependency.client.mailbox.post(Call("aa", 30.0, b"q"))
+    dependency.client.mailbox.post(StartCall("aa", 30.0, b"q"))
     assert dependency.messages.take() == [CallEnded("aa", Outcome.UNREACHED, b"")]
 
 
 def test_address_change_keeps_pending_calls_and_sends_new_ones_to_the_new_address(
     dependency: StandInDependency,
 ) -> None:
-    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("aa", 900.0, b"q"))
     old = dependency.accept()
     old.recv(100)
     listener, address = dependency.listen()
-    dependency.client.move(address)
-    dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+    dependency.client.change_address(address)
+    dependency.client.mailbox.post(StartCall("bb", 900.0, b"q"))
     new = dependency.accept(listener)
     assert new.recv(100).startswith(b"OP bb")
     old.sendall(b"aa DONE 1\r\nr\r\n")
@@ -167,15 +167,15 @@
     dependency: StandInDependency, opened: bool
 ) -> None:
     """The address changes after the call was sent and before it is abandoned."""
-    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("aa", 900.0, b"q"))
     old = dependency.accept()
     old.recv(100)
     listener, address = dependency.listen()
-    dependency.client.move(address)
+    dependency.client.change_address(address)
     if opened:
-        dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+        dependency.client.mailbox.post(StartCall("bb", 900.0, b"q"))
         assert dependency.accept(listener).recv(100).startswith(b"OP bb")
-    dependency.client.mailbox.post(Abandon("aa"))
+    dependency.client.mailbox.post(CancelCall("aa"))
     assert old.recv(100) == b"UNOP aa\r\n" and old.recv(100) == b""
     while len(dependency.client.connections) > opened:
         gevent.sleep(0)
@@ -185,7 +185,7 @@
     dependency: StandInDependency,
 ) -> None:
     """The dependency reads nothing any more when the last pending call is abandoned."""
-    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("aa", 900.0, b"q"))
     first = dependency.accept()
     first.recv(100)
     connection = dependency.client.connection
@@ -205,27 +205,27 @@
 
     closed, real_sock = Event(), connection.sock
     connection.sock = BlockedSocket()
-    dependency.client.mailbox.post(Abandon("aa"))
+    dependency.client.mailbox.post(CancelCall("aa"))
     gevent.sleep(0)
-    dependency.client.mailbox.post(Call("bb", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("bb", 900.0, b"q"))
     for _ in range(11):
-        dependency.client.look(0.0)
+        dependency.client.check_silence(0.0)
     assert dependency.accept().recv(100).startswith(b"OP bb")
 
 
 def test_overdue_call_ends_in_a_timeout_and_an_abandoned_one_is_not_awaited(
     dependency: StandInDependency,
 ) -> None:
-    dependency.client.mailbox.post(Call("aa", 900.0, b"q"))
-    dependency.client.mailbox.post(Call("bb", 50.0, b"q"))
+    dependency.client.mailbox.post(StartCall("aa", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("bb", 50.0, b"q"))
     sock = dependency.accept()  # kept in a variable, or garbage collection would close it
     sock.recv(100)
-    dependency.client.mailbox.post(Abandon("aa"))
+    dependency.client.mailbox.post(CancelCall("aa"))
     gevent.sleep(0)
     for _ in range(MAX_OVERDUE_TICKS):
-        dependency.client.look(5000.0)
+        dependency.client.check_silence(5000.0)
     assert dependency.client.connection is not None and dependency.client.connection.drop_reason is None
-    dependency.client.look(5000.0)
+    dependency.client.check_silence(5000.0)
     assert dependency.messages.take() == [CallEnded("bb", Outcome.TIMEOUT, b"")] and not dependency.messages
 
 
@@ -239,198 +239,217 @@
         nonlocal now
         for _ in range(count):
             now += 100.0
-            dependency.client.look(now)
+            dependency.client.check_silence(now)
 
-    dependency.client.mailbox.post(Call("a0", 4000.0, b"q"))
+    dependency.client.mailbox.post(StartCall("a0", 4000.0, b"q"))
     sock = dependency.accept()
     sock.recv(100)
     run_ticks(8)
     sock.sendall(b"a0 DONE 1\r\nr\r\n")
     assert dependency.messages.take() == [CallEnded("a0", Outcome.OK, b"r")]
-    for ident in ("a1", "a2"):
-        dependency.client.mailbox.post(Call(ident, 900.0, b"q"))
+    for exchange_id in ("a1", "a2"):
+        dependency.client.mailbox.post(StartCall(exchange_id, 900.0, b"q"))
         sock.recv(100)
         run_ticks(7)
-        if ident == "a1":
-            dependency.client.mailbox.post(Call("a3", 4000.0, b"q"))
-            dependency.client.mailbox.post(Abandon(ident))
+        if exchange_id == "a1":
+            dependency.client.mailbox.post(StartCall("a3", 4000.0, b"q"))
+            dependency.client.mailbox.post(CancelCall(exchange_id))
             sock.recv(100)
     assert dependency.client.connection is not None and dependency.client.connection.drop_reason is None
     run_ticks(3)  # more than twice the 800 ms that a call took
     assert dependency.messages.take() == [CallEnded(i, Outcome.TIMEOUT, b"") for i in ("a3", "a2")]
-    dependency.client.mailbox.post(Call("a4", 900.0, b"q"))
+    dependency.client.mailbox.post(StartCall("a4", 900.0, b"q"))
     assert dependency.accept().recv(100).startswith(b"OP a4")
 
 
-class CallingPlay(Play):
+class CallingHarness(CoreHarness):
     """The core's actor with a dependency."""
 
-    def __init__(self, kind: Kind = Kind.REPEATABLE, **others: Any) -> None:
-        super().__init__(group(kind, may_call=True, **others), below=Below.TIER)
-        self.asked: list[Any] = []
-        self.core.below = self.asked.append
+    def __init__(self, kind: EffectKind = EffectKind.REPEATABLE, **others: Any) -> None:
+        super().__init__(group(kind, may_call=True, **others), dependency=DependencyKind.TIER)
+        self.dependency_commands: list[Any] = []
+        self.core.send_to_dependency = self.dependency_commands.append
 
-    def at_call(self) -> None:
-        self.ask("aa", 0.0)
-        self.turn(1.0, AtCall("aa", b"q"))
+    def request_call(self) -> None:
+        self.submit("aa", 0.0)
+        self.process_batch(1.0, CallRequested("aa", b"q"))
 
 
 def test_run_gets_the_result_of_its_call() -> None:
-    play = CallingPlay()
-    play.at_call()
-    assert play.asked == [Call("aa", play.asked[0].timeout, b"q")] and 0 < play.asked[0].timeout < 4000.0
-    play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-    assert play.commands(Deliver) == [Deliver("aa", b"result")]
-    play.turn(60.0, RunEnded("aa", Outcome.OK, 60.0, b"done"))
-    assert [a.verdict for a in play.answers] == [Verdict.COMPLETED] and not play.core.entries_by_id
-    assert play.core.controller and play.core.controller.calls_in_flight == 0
+    harness = CallingHarness()
+    harness.request_call()
+    assert (
+        harness.dependency_commands == [StartCall("aa", harness.dependency_commands[0].timeout, b"q")]
+        and 0 < harness.dependency_commands[0].timeout < 4000.0
+    )
+    harness.process_batch(50.0, CallEnded("aa", Outcome.OK, b"result"))
+    assert harness.commands(DeliverCallResult) == [DeliverCallResult("aa", b"result")]
+    harness.process_batch(60.0, RunEnded("aa", Outcome.OK, 60.0, b"done"))
+    assert [a.verdict for a in harness.answers] == [Verdict.COMPLETED] and not harness.core.entries_by_id
+    assert harness.core.controller and harness.core.controller.calls_in_flight == 0
 
 
-@pytest.mark.parametrize(("kind", "calls"), [(Kind.REPEATABLE, 2), (Kind.MUTATING, 1)])
-def test_lost_call_is_retried_only_where_that_is_safe(kind: Kind, calls: int) -> None:
-    play = CallingPlay(kind)
-    play.at_call()
-    play.turn(50.0, CallEnded("aa", Outcome.RESET, b""))
-    assert len(play.asked) == calls
-    assert kind is Kind.REPEATABLE or [a.verdict for a in play.answers] == [Verdict.TERMINATED]
+@pytest.mark.parametrize(("kind", "calls"), [(EffectKind.REPEATABLE, 2), (EffectKind.MUTATING, 1)])
+def test_lost_call_is_retried_only_where_that_is_safe(kind: EffectKind, calls: int) -> None:
+    harness = CallingHarness(kind)
+    harness.request_call()
+    harness.process_batch(50.0, CallEnded("aa", Outcome.RESET, b""))
+    assert len(harness.dependency_commands) == calls
+    assert kind is EffectKind.REPEATABLE or [a.verdict for a in harness.answers] == [Verdict.TERMINATED]
 
 
 def test_rejected_or_unsent_call_is_retried_for_any_kind_of_exchange() -> None:
-    play = CallingPlay(Kind.MUTATING)
-    play.at_call()
-    play.turn(50.0, CallEnded("aa", Outcome.FULL, b""))
-    play.turn(60.0, CallEnded("aa", Outcome.UNREACHED, b""))
-    assert len(play.asked) == 3 and not play.answers
+    harness = CallingHarness(EffectKind.MUTATING)
+    harness.request_call()
+    harness.process_batch(50.0, CallEnded("aa", Outcome.REJECTED, b""))
+    harness.process_batch(60.0, CallEnded("aa", Outcome.UNREACHED, b""))
+    assert len(harness.dependency_commands) == 3 and not harness.answers
 
 
 def test_failed_call_is_skipped_where_the_exchange_keeps_a_benefit() -> None:
-    play = CallingPlay(Kind.MUTATING, benefit_without_call=0.5)
-    play.at_call()
-    play.turn(50.0, CallEnded("aa", Outcome.ERROR, b""))
-    assert play.commands(Forgo) == [Forgo("aa")] and not play.answers
+    harness = CallingHarness(EffectKind.MUTATING, benefit_without_call=0.5)
+    harness.request_call()
+    harness.process_batch(50.0, CallEnded("aa", Outcome.ERROR, b""))
+    assert harness.commands(SkipCall) == [SkipCall("aa")] and not harness.answers
 
 
-def reconnect_agent(play: CallingPlay, *missed: Any) -> None:
+def reconnect_agent(harness: CallingHarness, *missed: Any) -> None:
     """The agent is disconnected and connected again; `missed` are the events in between."""
-    play.turn(60.0, Parted(End.RESET))
-    play.turn(70.0, Greeted(False, 70.0), *missed)
-    play.turn(80.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
+    harness.process_batch(60.0, AgentDisconnected(CloseReason.RESET_BY_PEER))
+    harness.process_batch(70.0, AgentConnected(False, 70.0), *missed)
+    harness.process_batch(80.0, GaugesSampled(harness.commands(SampleGauges)[-1].tag, Gauges()))
 
 
 @pytest.mark.parametrize("before", [True, False])
 def test_call_result_reaches_the_run_although_the_agent_connection_is_lost(before: bool) -> None:
     """The agent is disconnected just after the result was sent, or just before it arrived."""
-    play = CallingPlay()
-    play.at_call()
+    harness = CallingHarness()
+    harness.request_call()
     if before:
-        play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-        reconnect_agent(play)
+        harness.process_batch(50.0, CallEnded("aa", Outcome.OK, b"result"))
+        reconnect_agent(harness)
     else:
-        play.turn(50.0, Parted(End.RESET), CallEnded("aa", Outcome.OK, b"result"))
-        assert not play.commands(Deliver)
-        reconnect_agent(play)
-    assert play.commands(Deliver) == [Deliver("aa", b"result")] * (2 if before else 1)
-    assert len(play.commands(Launch)) == 1
+        harness.process_batch(
+            50.0, AgentDisconnected(CloseReason.RESET_BY_PEER), CallEnded("aa", Outcome.OK, b"result")
+        )
+        assert not harness.commands(DeliverCallResult)
+        reconnect_agent(harness)
+    assert harness.commands(DeliverCallResult) == [DeliverCallResult("aa", b"result")] * (2 if before else 1)
+    assert len(harness.commands(StartRun)) == 1
 
 
 def test_run_at_its_next_call_does_not_get_the_last_result_again() -> None:
-    play = CallingPlay()
-    play.at_call()
-    play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-    reconnect_agent(play, AtCall("aa", b"next"))
-    assert len(play.commands(Deliver)) == 1 and [c.body for c in play.asked] == [b"q", b"next"]
+    harness = CallingHarness()
+    harness.request_call()
+    harness.process_batch(50.0, CallEnded("aa", Outcome.OK, b"result"))
+    reconnect_agent(harness, CallRequested("aa", b"next"))
+    assert len(harness.commands(DeliverCallResult)) == 1 and [
+        c.body for c in harness.dependency_commands
+    ] == [b"q", b"next"]
 
 
 def test_result_taken_before_the_disconnection_is_not_sent_again() -> None:
-    play = CallingPlay()
-    play.at_call()
-    play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-    play.turn(101.0)
-    play.turn(102.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
-    play.turn(103.0, Parted(End.RESET))
-    play.turn(104.0, Greeted(False, 104.0))
-    play.turn(105.0, Sampled(play.commands(Sample)[-1].tag, Gauges()))
-    assert len(play.commands(Deliver)) == 1
-
-
-@pytest.mark.parametrize("kind", list(Kind))
-def test_call_without_an_end_does_not_delay_its_exchange_past_the_deadline(kind: Kind) -> None:
-    play = CallingPlay(kind)
-    play.at_call()
+    harness = CallingHarness()
+    harness.request_call()
+    harness.process_batch(50.0, CallEnded("aa", Outcome.OK, b"result"))
+    harness.process_batch(101.0)
+    harness.process_batch(102.0, GaugesSampled(harness.commands(SampleGauges)[-1].tag, Gauges()))
+    harness.process_batch(103.0, AgentDisconnected(CloseReason.RESET_BY_PEER))
+    harness.process_batch(104.0, AgentConnected(False, 104.0))
+    harness.process_batch(105.0, GaugesSampled(harness.commands(SampleGauges)[-1].tag, Gauges()))
+    assert len(harness.commands(DeliverCallResult)) == 1
+
+
+@pytest.mark.parametrize("kind", list(EffectKind))
+def test_call_without_an_end_does_not_delay_its_exchange_past_the_deadline(kind: EffectKind) -> None:
+    harness = CallingHarness(kind)
+    harness.request_call()
     for now in range(10, 4001, 10):
-        play.turn(float(now))
-        if play.answers:
+        harness.process_batch(float(now))
+        if harness.answers:
             break
-    assert now < 4000 and play.asked[-1] == Abandon("aa")
-    play.turn(4010.0, CallEnded("aa", Outcome.OK, b"late"), RunEnded("aa", Outcome.CANCELLED, 4000.0, b""))
-    assert not play.commands(Deliver) and not play.core.entries_by_id and len(play.answers) == 1
+    assert now < 4000 and harness.dependency_commands[-1] == CancelCall("aa")
+    harness.process_batch(
+        4010.0, CallEnded("aa", Outcome.OK, b"late"), RunEnded("aa", Outcome.CANCELLED, 4000.0, b"")
+    )
+    assert (
+        not harness.commands(DeliverCallResult)
+        and not harness.core.entries_by_id
+        and len(harness.answers) == 1
+    )
 
 
 def test_pending_calls_are_ended_before_the_stop() -> None:
-    play = CallingPlay()
-    play.at_call()
-    play.turn(10.0, Leave(10.0))
+    harness = CallingHarness()
+    harness.request_call()
+    harness.process_batch(10.0, DrainRequested(10.0))
     for now in range(20, 3200, 20):
-        play.turn(float(now))
-    assert play.core.unanswered == 0 and play.asked[-1] == Abandon("aa")
+        harness.process_batch(float(now))
+    assert harness.core.unanswered == 0 and harness.dependency_commands[-1] == CancelCall("aa")
 
 
 def test_caller_that_disconnects_during_a_call_leaves_no_state() -> None:
-    play = CallingPlay()
-    ticket = play.ask("aa", 0.0)
-    play.turn(1.0, AtCall("aa", b"q"))
-    play.turn(2.0, CallersLeft([ticket]))
-    play.turn(50.0, CallEnded("aa", Outcome.OK, b"result"))
-    play.turn(60.0, RunEnded("aa", Outcome.CANCELLED, 60.0, b""))
-    assert not play.core.entries_by_id and not play.answers
-    assert play.core.controller and not play.core.controller.running
+    harness = CallingHarness()
+    request = harness.submit("aa", 0.0)
+    harness.process_batch(1.0, CallRequested("aa", b"q"))
+    harness.process_batch(2.0, ExchangesAbandoned([request]))
+    harness.process_batch(50.0, CallEnded("aa", Outcome.OK, b"result"))
+    harness.process_batch(60.0, RunEnded("aa", Outcome.CANCELLED, 60.0, b""))
+    assert not harness.core.entries_by_id and not harness.answers
+    assert harness.core.controller and not harness.core.controller.running
 
 
-@pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.ERROR, Outcome.OK, Outcome.MOOT])
+@pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.ERROR, Outcome.OK, Outcome.NOT_STARTED])
 @pytest.mark.parametrize("left", [True, False])
 @pytest.mark.parametrize("place", ["calling", "parked"])
-@pytest.mark.parametrize("kind", [Kind.REPEATABLE, Kind.MUTATING])
+@pytest.mark.parametrize("kind", [EffectKind.REPEATABLE, EffectKind.MUTATING])
 def test_run_that_ends_during_its_call_frees_its_capacity(
-    kind: Kind, place: str, left: bool, outcome: Outcome
+    kind: EffectKind, place: str, left: bool, outcome: Outcome
 ) -> None:
     """The run is cancelled or ends between its call and the reply: no further call is made."""
-    play = CallingPlay(kind)
-    controller = play.core.controller
+    harness = CallingHarness(kind)
+    controller = harness.core.controller
     assert controller
     controller.max_calls = 1.0
     if place == "parked":
-        play.ask("zz", 0.0)
-        play.turn(1.0, AtCall("zz", b"q"))
-    ticket = play.ask("aa", 0.0)
-    play.turn(1.0, AtCall("aa", b"q"))
-    made = len([one for one in play.asked if isinstance(one, Call)])
+        harness.submit("zz", 0.0)
+        harness.process_batch(1.0, CallRequested("zz", b"q"))
+    request = harness.submit("aa", 0.0)
+    harness.process_batch(1.0, CallRequested("aa", b"q"))
+    made = len([one for one in harness.dependency_commands if isinstance(one, StartCall)])
     assert len(controller.waiting_for_call) == (place == "parked") and made == 1
     if left:
-        play.turn(2.0, CallersLeft([ticket]))
-    play.turn(3.0, RunEnded("aa", outcome, 3.0, b"r"))
-    play.turn(4.0, CallEnded("aa", Outcome.OK, b"late"))
-    assert "aa" not in play.core.entries_by_id and not controller.waiting_for_call
-    assert [one for one in play.asked if isinstance(one, Call)][made:] == []
-    assert len(play.answers) == (not left)
+        harness.process_batch(2.0, ExchangesAbandoned([request]))
+    harness.process_batch(3.0, RunEnded("aa", outcome, 3.0, b"r"))
+    harness.process_batch(4.0, CallEnded("aa", Outcome.OK, b"late"))
+    assert "aa" not in harness.core.entries_by_id and not controller.waiting_for_call
+    assert [one for one in harness.dependency_commands if isinstance(one, StartCall)][made:] == []
+    assert len(harness.answers) == (not left)
     if place == "parked":
-        play.turn(5.0, CallEnded("zz", Outcome.OK, b"r"), RunEnded("zz", Outcome.OK, 5.0, b"r"))
-    play.turn(900.0)  # an abandoned call may stay with the dependency for a while
+        harness.process_batch(5.0, CallEnded("zz", Outcome.OK, b"r"), RunEnded("zz", Outcome.OK, 5.0, b"r"))
+    harness.process_batch(900.0)  # an abandoned call may stay with the dependency for a while
     assert controller.calls_in_flight == 0 and not controller.running
 
 
 def test_machine_restart_ends_a_pending_call() -> None:
-    play = CallingPlay()
-    play.at_call()
-    play.turn(60.0, Parted(End.RESET))
-    play.turn(70.0, Greeted(True, 5.0, anew=True))
-    play.turn(900.0, CallEnded("aa", Outcome.OK, b"late"))
-    assert [a.ticket.ident for a in play.answers] == ["aa"] and play.asked[-1] == Abandon("aa")
-    assert not play.core.entries_by_id and play.core.controller and play.core.controller.calls_in_flight == 0
+    harness = CallingHarness()
+    harness.request_call()
+    harness.process_batch(60.0, AgentDisconnected(CloseReason.RESET_BY_PEER))
+    harness.process_batch(70.0, AgentConnected(True, 5.0, restarted=True))
+    harness.process_batch(900.0, CallEnded("aa", Outcome.OK, b"late"))
+    assert [a.request.exchange_id for a in harness.answers] == ["aa"] and harness.dependency_commands[
+        -1
+    ] == CancelCall("aa")
+    assert (
+        not harness.core.entries_by_id
+        and harness.core.controller
+        and harness.core.controller.calls_in_flight == 0
+    )
 
 
 def test_unexpected_call_does_not_end_the_exchange() -> None:
-    play = Play()
-    play.ask("aa", 0.0)
-    play.turn(1.0, AtCall("aa", b"q"), AtCall("gone", b"q"))
-    play.turn(9.0, RunEnded("aa", Outcome.OK, 9.0, b"r"))
-    assert [a.verdict for a in play.answers] == [Verdict.COMPLETED]
+    harness = CoreHarness()
+    harness.submit("aa", 0.0)
+    harness.process_batch(1.0, CallRequested("aa", b"q"), CallRequested("gone", b"q"))
+    harness.process_batch(9.0, RunEnded("aa", Outcome.OK, 9.0, b"r"))
+    assert [a.verdict for a in harness.answers] == [Verdict.COMPLETED]
