--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -12,17 +12,28 @@
 from myrtlecrank.fleet.member import FleetConfig, FleetMember
 from myrtlecrank.fleet.membership.messages import MemberUpdate, State
 from myrtlecrank.fleet.membership.swim import MembershipTiming
-from myrtlecrank.fleet.options import Bounds, DutyOptions, apply_reloadable, unapplied_options
-from myrtlecrank.fleet.ownership.lease import Duty, Fence, Lease, Look, Put, Terms, opened, rebalance
+from myrtlecrank.fleet.options import DutyOptions, FleetOptions, apply_reloadable, unapplied_options
+from myrtlecrank.fleet.ownership.lease import (
+    Duty,
+    Fence,
+    Lease,
+    LeaseTimings,
+    ReadRecord,
+    WriteRecord,
+    decode_lease,
+    rebalance,
+)
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
 from rig.multi_node.ownership_model_check import Walk, believes_a_glance, counts_from_the_answer, one_turn
 
-TERMS = Terms.of(1000.0, 0.01, 250.0)
+TIMINGS = LeaseTimings.derive(1000.0, 0.01, 250.0)
 
 
 def record(lease: Lease, version: int = 1, writer: str = "") -> Record:
-    return Record(version, Put(EMPTY_RECORD, lease).value(), writer or f"{lease.owner}:{lease.attempt}")
+    return Record(
+        version, WriteRecord(EMPTY_RECORD, lease).value(), writer or f"{lease.owner}:{lease.attempt}"
+    )
 
 
 def done(current: Record) -> Outcome:
@@ -31,19 +42,19 @@
 
 def read_unverified(duty: Duty, current: Record, now: float) -> None:
     """The duty reads this record by an unverified read."""
-    duty.sending(Look(False), now)
-    duty.heard(done(current), now)
+    duty.request_sent(ReadRecord(False), now)
+    duty.outcome_received(done(current), now)
 
 
 def owned_duty(owner_id: str = "a/1", now: float = 0.0) -> Duty:
     """A duty that this owner acquired at `now`."""
-    duty = Duty("d", owner_id, TERMS)
+    duty = Duty("d", owner_id, TIMINGS)
     read_unverified(duty, EMPTY_RECORD, now)
     duty.due = now
-    asked = duty.want(now, True, 0)
-    assert isinstance(asked, Put)
-    duty.sending(asked, now)
-    duty.heard(done(record(asked.lease)), now + 10.0)
+    asked = duty.next_request(now, True, 0)
+    assert isinstance(asked, WriteRecord)
+    duty.request_sent(asked, now)
+    duty.outcome_received(done(record(asked.lease)), now + 10.0)
     return duty
 
 
@@ -54,71 +65,71 @@
 
 def test_an_owner_that_wakes_from_a_pause_finds_its_lease_expired() -> None:
     duty = owned_duty()
-    assert duty.owns(50_000.0) is None and duty.changes[-1] == "no longer owned, epoch 1: its lease ran out"
+    assert duty.owns(50_000.0) is None and duty.log_lines[-1] == "no longer owned, epoch 1: its lease ran out"
 
 
 def test_the_others_wait_longer_than_the_lease_by_the_drift_of_both_clocks() -> None:
-    assert math.isclose(TERMS.wait, 1000.0 * 1.01 / 0.99)
-    duty = Duty("d", "b/1", TERMS)
+    assert math.isclose(TIMINGS.takeover_wait_ms, 1000.0 * 1.01 / 0.99)
+    duty = Duty("d", "b/1", TIMINGS)
     read_unverified(duty, record(Lease("a/1", 4, 7)), 100.0)
     duty.due = 0.0
-    assert duty.want(100.0 + TERMS.wait - 0.1, True, 0) == Look(False)
-    asked = duty.want(100.0 + TERMS.wait, True, 0)
-    assert isinstance(asked, Put) and (asked.lease.owner, asked.lease.epoch) == ("b/1", 5)
+    assert duty.next_request(100.0 + TIMINGS.takeover_wait_ms - 0.1, True, 0) == ReadRecord(False)
+    asked = duty.next_request(100.0 + TIMINGS.takeover_wait_ms, True, 0)
+    assert isinstance(asked, WriteRecord) and (asked.lease.owner, asked.lease.epoch) == ("b/1", 5)
 
 
 def test_a_renewal_restarts_the_wait_also_under_the_same_version() -> None:
     """Two writes may propose one version, and the one that was read need not be the one that was chosen."""
-    duty = Duty("d", "b/1", TERMS)
+    duty = Duty("d", "b/1", TIMINGS)
     read_unverified(duty, record(Lease("a/1", 4, 7), 3, "first"), 0.0)
     read_unverified(duty, record(Lease("a/1", 4, 8), 3, "second"), 900.0)
-    assert duty.available_at(0) == 900.0 + TERMS.wait
+    assert duty.available_at(0) == 900.0 + TIMINGS.takeover_wait_ms
 
 
 def test_a_drift_out_of_range_is_refused() -> None:
     for drift in (-0.1, 0.5, math.nan):
         with pytest.raises(ValueError, match="drift"):
-            Terms.of(1000.0, drift, 250.0)
+            LeaseTimings.derive(1000.0, drift, 250.0)
 
 
 def test_an_ineligible_member_only_reads() -> None:
-    duty = Duty("d", "b/1", TERMS)
+    duty = Duty("d", "b/1", TIMINGS)
     read_unverified(duty, EMPTY_RECORD, 0.0)
     duty.due = 0.0
-    assert duty.want(10_000.0, False, 0) == Look(False)
+    assert duty.next_request(10_000.0, False, 0) == ReadRecord(False)
 
 
 def test_a_member_with_duties_acquires_another_later() -> None:
-    duty = Duty("d", "b/1", TERMS)
+    duty = Duty("d", "b/1", TIMINGS)
     read_unverified(duty, EMPTY_RECORD, 0.0)
-    assert duty.available_at(0) == 0.0 and duty.available_at(3) == 3.0 * TERMS.stagger_ms
+    assert duty.available_at(0) == 0.0 and duty.available_at(3) == 3.0 * TIMINGS.stagger_ms
 
 
 def test_a_renewal_of_unknown_outcome_changes_nothing_until_a_verified_read() -> None:
     duty = owned_duty()
     duty.due = 0.0
-    asked = duty.want(400.0, True, 1)
-    assert isinstance(asked, Put)
-    duty.sending(asked, 400.0)
-    duty.heard(Outcome(Result.UNKNOWN), 700.0)
+    asked = duty.next_request(400.0, True, 1)
+    assert isinstance(asked, WriteRecord)
+    duty.request_sent(asked, 400.0)
+    duty.outcome_received(Outcome(Result.UNKNOWN), 700.0)
     assert duty.owns(999.0) == 1
     duty.due = 0.0
-    assert duty.want(800.0, True, 1) == Look(True)
-    duty.sending(Look(True), 800.0)
-    duty.heard(done(record(asked.lease, 2)), 850.0)
-    assert duty.until == 1400.0, "it was chosen, so the lease counts from its sending"
+    assert duty.next_request(800.0, True, 1) == ReadRecord(True)
+    duty.request_sent(ReadRecord(True), 800.0)
+    duty.outcome_received(done(record(asked.lease, 2)), 850.0)
+    assert duty.lease_end == 1400.0, "it was chosen, so the lease counts from its sending"
 
 
 def test_an_unverified_read_never_extends_a_lease() -> None:
     duty = owned_duty()
-    until = duty.until
+    until = duty.lease_end
     duty.due = 0.0
-    asked = duty.want(400.0, True, 1)
-    assert isinstance(asked, Put)
-    duty.sending(asked, 400.0)
-    duty.heard(Outcome(Result.UNKNOWN), 500.0)
+    asked = duty.next_request(400.0, True, 1)
+    assert isinstance(asked, WriteRecord)
+    duty.request_sent(asked, 400.0)
+    duty.outcome_received(Outcome(Result.UNKNOWN), 500.0)
     read_unverified(duty, record(asked.lease, 2), 550.0)
-    assert duty.until == until
+    assert duty.lease_end == until
 
 
 def test_an_older_write_that_is_chosen_is_not_taken_for_the_newer() -> None:
@@ -129,50 +140,54 @@
     for now in (400.0, 500.0):
         duty.due = 0.0
         duty.record_is_known = True
-        asked = duty.want(now + 400.0, True, 1)
-        assert isinstance(asked, Put)
+        asked = duty.next_request(now + 400.0, True, 1)
+        assert isinstance(asked, WriteRecord)
         attempts.append(asked.lease.attempt)
-        duty.sending(asked, now)
-        duty.heard(Outcome(Result.UNKNOWN), now + 50.0)
+        duty.request_sent(asked, now)
+        duty.outcome_received(Outcome(Result.UNKNOWN), now + 50.0)
     assert attempts[0] != attempts[1]
-    duty.sending(Look(True), 560.0)
-    duty.heard(done(record(Lease("a/1", 1, attempts[0]), 2)), 580.0)
-    assert duty.until == 1000.0
+    duty.request_sent(ReadRecord(True), 560.0)
+    duty.outcome_received(done(record(Lease("a/1", 1, attempts[0]), 2)), 580.0)
+    assert duty.lease_end == 1000.0
 
 
 def test_an_owner_stops_when_its_duty_was_taken_by_another() -> None:
     duty = owned_duty()
-    duty.sending(Look(True), 500.0)
-    duty.heard(done(record(Lease("b/1", 2, 1), 2)), 510.0)
-    assert duty.owns(511.0) is None and "taken by b/1" in duty.changes[-1]
+    duty.request_sent(ReadRecord(True), 500.0)
+    duty.outcome_received(done(record(Lease("b/1", 2, 1), 2)), 510.0)
+    assert duty.owns(511.0) is None and "taken by b/1" in duty.log_lines[-1]
 
 
 def test_an_earlier_start_of_the_same_member_is_another_owner() -> None:
-    duty = Duty("d", "a/2", TERMS)
+    duty = Duty("d", "a/2", TIMINGS)
     read_unverified(duty, record(Lease("a/1", 4, 7)), 0.0)
-    assert duty.available_at(0) == TERMS.wait
+    assert duty.available_at(0) == TIMINGS.takeover_wait_ms
 
 
 def test_a_released_duty_is_not_worked_on_and_its_heir_comes_first() -> None:
     duty = owned_duty()
-    duty.give_up("b")
+    duty.release("b")
     assert duty.owns(100.0) is None
-    asked = duty.want(100.0, True, 1)
-    assert isinstance(asked, Put) and (asked.lease.owner, asked.lease.heir, asked.lease.epoch) == ("", "b", 1)
-    duty.sending(asked, 100.0)
-    duty.heard(done(record(asked.lease, 2)), 110.0)
+    asked = duty.next_request(100.0, True, 1)
+    assert isinstance(asked, WriteRecord) and (
+        asked.lease.owner,
+        asked.lease.successor,
+        asked.lease.epoch,
+    ) == ("", "b", 1)
+    duty.request_sent(asked, 100.0)
+    duty.outcome_received(done(record(asked.lease, 2)), 110.0)
     released = record(asked.lease, 2)
-    heir, other = Duty("d", "b/1", TERMS), Duty("d", "c/1", TERMS)
-    for one in (heir, other):
+    successor, other = Duty("d", "b/1", TIMINGS), Duty("d", "c/1", TIMINGS)
+    for one in (successor, other):
         read_unverified(one, released, 120.0)
-    assert heir.available_at(0) == 120.0 and other.available_at(0) == 120.0 + TERMS.successor_wait_ms
+    assert successor.available_at(0) == 120.0 and other.available_at(0) == 120.0 + TIMINGS.successor_wait_ms
 
 
 def test_a_record_that_holds_no_lease_is_left_unchanged() -> None:
-    duty = Duty("d", "a/1", TERMS)
-    duty.sending(Look(False), 0.0)
-    duty.heard(done(Record(1, b"\xff?", "x")), 1.0)
-    assert duty.changes == ["its record cannot be read"] and duty.want(100.0, True, 0) is None
+    duty = Duty("d", "a/1", TIMINGS)
+    duty.request_sent(ReadRecord(False), 0.0)
+    duty.outcome_received(done(Record(1, b"\xff?", "x")), 1.0)
+    assert duty.log_lines == ["its record cannot be read"] and duty.next_request(100.0, True, 0) is None
 
 
 def test_a_completed_step_is_kept_if_its_write_failed() -> None:
@@ -180,21 +195,21 @@
     be chosen, without the step: it stays completed."""
     duty = owned_duty()
     duty.due = 0.0
-    asked = duty.want(400.0, True, 1)
-    assert isinstance(asked, Put)
-    duty.sending(asked, 400.0)
+    asked = duty.next_request(400.0, True, 1)
+    assert isinstance(asked, WriteRecord)
+    duty.request_sent(asked, 400.0)
     duty.advance(1)
     duty.owns(1200.0)
-    duty.heard(done(record(asked.lease, 2)), 1210.0)
-    assert duty.owns(1211.0) == 1 and duty.completed_step == 1 and duty.recorded() == 0
+    duty.outcome_received(done(record(asked.lease, 2)), 1210.0)
+    assert duty.owns(1211.0) == 1 and duty.completed_step == 1 and duty.recorded_step() == 0
     duty.due = 0.0
-    again = duty.want(1212.0, True, 1)
-    assert isinstance(again, Put) and again.lease.progress == 1
+    again = duty.next_request(1212.0, True, 1)
+    assert isinstance(again, WriteRecord) and again.lease.progress == 1
 
 
 def test_a_lease_is_decoded_as_it_was_encoded() -> None:
     lease = Lease("a/1", 3, 9, "b", 17)
-    assert opened(record(lease)) == lease and opened(EMPTY_RECORD) == Lease()
+    assert decode_lease(record(lease)) == lease and decode_lease(EMPTY_RECORD) == Lease()
 
 
 OWNERS = {"d1": "a", "d2": "a", "d3": "a", "d4": "b"}
@@ -243,7 +258,7 @@
 
 def owner() -> FleetMember:
     """A fleet of one member and one voter that owns its duty since 0."""
-    plan = FleetConfig(("v",), (WORK,), TERMS, PACE, 250.0, 3000.0)
+    plan = FleetConfig(("v",), (WORK,), TIMINGS, PACE, 250.0, 3000.0)
     fleet = FleetMember(
         MemberUpdate("a", ("127.0.0.1", 1), "z", 1, State.ALIVE), "1", {}, plan, lambda: 0.5, 0.0
     )
@@ -259,8 +274,8 @@
     fleet.tick(200.0)
     assert not fleet.effects
     duty = fleet.duties["d"]
-    assert isinstance(duty.asked, Put) and duty.asked.lease.progress == 1
-    duty.heard(done(record(duty.asked.lease, 2)), 210.0)
+    assert isinstance(duty.pending_request, WriteRecord) and duty.pending_request.lease.progress == 1
+    duty.outcome_received(done(record(duty.pending_request.lease, 2)), 210.0)
     fleet.tick(211.0)
     assert [one.step for one in fleet.effects] == [2]
 
@@ -290,7 +305,7 @@
     duty.due = 1e9
     fleet.tick(1500.0)
     assert duty.epoch is None and fleet.scheduler.progress["d"].expires_at is None
-    duty.epoch, duty.until = 1, 3000.0  # a renewal was chosen after all
+    duty.epoch, duty.lease_end = 1, 3000.0  # a renewal was chosen after all
     fleet.tick(1600.0)
     assert [(one.epoch, one.step) for one in fleet.effects] == [(first.epoch, first.step)]
 
@@ -312,8 +327,12 @@
 def test_a_member_that_drains_releases_its_duties_at_once() -> None:
     fleet = owner()
     fleet.leave(100.0)
-    asked = fleet.duties["d"].asked
-    assert isinstance(asked, Put) and asked.lease.owner == "" and fleet.membership.local.state is State.LEFT
+    asked = fleet.duties["d"].pending_request
+    assert (
+        isinstance(asked, WriteRecord)
+        and asked.lease.owner == ""
+        and fleet.membership.local.state is State.LEFT
+    )
 
 
 # -- limits of the step scheduler
@@ -368,13 +387,13 @@
 
 
 def test_a_reloaded_file_changes_how_duties_are_worked_on_and_nothing_else() -> None:
-    old = Bounds(
+    old = FleetOptions(
         name="f",
         voters=("a", "b", "c"),
         lease_ms=2000.0,
         duties={"d": DutyOptions(to="127.0.0.1:1"), "gone": DutyOptions(to="127.0.0.1:2")},
     )
-    new = Bounds(
+    new = FleetOptions(
         name="f",
         voters=("a", "b", "e"),
         lease_ms=900.0,
@@ -396,7 +415,7 @@
         FleetConfig(
             ("x",),
             (DutySchedule("d", 1000.0, 50.0, 50.0, 0.5),),
-            TERMS,
+            TIMINGS,
             PACE,
             9.0,
             7.0,
@@ -436,4 +455,4 @@
 
 
 def test_the_model_check_finds_a_wait_shorter_than_the_lease() -> None:
-    assert Walk(12, Terms(3.0, 2.0, 1.0, 1.0, 0.0, 2.0)).run(owned=True).wrong
+    assert Walk(12, LeaseTimings(3.0, 2.0, 1.0, 1.0, 0.0, 2.0)).run(owned=True).wrong
--- a/tests/test_fleet_peer_links.py
+++ b/tests/test_fleet_peer_links.py
@@ -20,7 +20,7 @@
 from myrtlecrank import subsystems
 from myrtlecrank.fleet.membership.messages import Ack, Ping
 from myrtlecrank.fleet.messages import VERSION, Hello, Message, Query, Report
-from myrtlecrank.fleet.options import Bounds
+from myrtlecrank.fleet.options import FleetOptions
 from myrtlecrank.fleet.peer_links import (
     LENGTH_PREFIX,
     MAX_MESSAGE_BYTES,
@@ -202,8 +202,12 @@
 def test_a_valid_section_is_read(tmp_path: Path) -> None:
     file = tmp_path / "operators.toml"
     file.write_text(VALID_SECTION)
-    bounds = subsystems.load(str(file)).fleet
-    assert isinstance(bounds, Bounds) and bounds.members["b"].zone == "z" and list(bounds.duties) == ["sweep"]
+    options = subsystems.load(str(file)).fleet
+    assert (
+        isinstance(options, FleetOptions)
+        and options.members["b"].zone == "z"
+        and list(options.duties) == ["sweep"]
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -15,48 +15,48 @@
 
 from myrtlecrank.fleet.messages import VERSION, Hello
 from myrtlecrank.fleet.peer_links import encode_frame
-from rig.processes.ownership_experiment import RealPlay
+from rig.processes.ownership_experiment import OwnershipRun
 
 
-def started(play: RealPlay) -> Iterator[RealPlay]:
+def started(play: OwnershipRun) -> Iterator[OwnershipRun]:
     """Yields the processes once each duty is owned and each voter votes."""
     try:
-        play.begin()
+        play.start()
         yield play
     finally:
-        play.finish()
+        play.stop()
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[RealPlay]:
+def fleet(tmp_path: Path) -> Iterator[OwnershipRun]:
     """Three members that all vote, two duties."""
-    yield from started(RealPlay(1, 3, 3, 2, True, tmp_path))
+    yield from started(OwnershipRun(1, 3, 3, 2, True, tmp_path))
 
 
 @pytest.fixture
-def four(tmp_path: Path) -> Iterator[RealPlay]:
+def four(tmp_path: Path) -> Iterator[OwnershipRun]:
     """Four members of which three vote, two duties."""
-    yield from started(RealPlay(2, 4, 3, 2, True, tmp_path))
+    yield from started(OwnershipRun(2, 4, 3, 2, True, tmp_path))
 
 
-def steps_taken(play: RealPlay) -> int:
-    return sum(play.stands.resource.last.values())
+def steps_taken(play: OwnershipRun) -> int:
+    return sum(play.stand_ins.resource.last.values())
 
 
-def wait_for_steps(play: RealPlay, more: int = 10) -> None:
+def wait_for_steps(play: OwnershipRun, more: int = 10) -> None:
     """Waits until every duty has advanced by this many steps."""
-    last = dict(play.stands.resource.last)
-    play.wait(lambda: all(play.stands.resource.last[duty] >= last[duty] + more for duty in play.duties))
+    last = dict(play.stand_ins.resource.last)
+    play.wait(lambda: all(play.stand_ins.resource.last[duty] >= last[duty] + more for duty in play.duties))
 
 
-def assert_safety(play: RealPlay) -> None:
+def assert_safety(play: OwnershipRun) -> None:
     """The safety properties, as the resource observed them."""
-    resource = play.stands.resource
+    resource = play.stand_ins.resource
     assert resource.owners_at_once() == 1
     assert (resource.late_taken, resource.steps_lost(), resource.steps_twice) == (0, 0, 0)
 
 
-def test_an_owner_that_is_stopped_past_its_lease_is_safe_when_it_continues(fleet: RealPlay) -> None:
+def test_an_owner_that_is_stopped_past_its_lease_is_safe_when_it_continues(fleet: OwnershipRun) -> None:
     old = fleet.owner("duty-0")
     fleet.backends[old].signal(signal.SIGSTOP)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
@@ -66,7 +66,7 @@
     assert_safety(fleet)
 
 
-def test_an_owner_that_is_cut_off_from_the_others_stops_and_another_takes_over(fleet: RealPlay) -> None:
+def test_an_owner_that_is_cut_off_from_the_others_stops_and_another_takes_over(fleet: OwnershipRun) -> None:
     """It still reaches the resource, so only its own clock can stop it."""
     old = fleet.owner("duty-0")
     for link, _ in fleet.links_of(old):
@@ -77,32 +77,32 @@
 
 
 def test_after_a_restart_of_all_members_duties_continue_behind_the_last_step(
-    fleet: RealPlay,
+    fleet: OwnershipRun,
 ) -> None:
-    before = dict(fleet.stands.resource.last)
+    before = dict(fleet.stand_ins.resource.last)
     for backend in fleet.backends.values():
-        backend.end()
+        backend.kill()
     for backend in fleet.backends.values():
         backend.start()
     wait_for_steps(fleet)
-    assert all(fleet.stands.resource.last[duty] > before[duty] for duty in fleet.duties)
+    assert all(fleet.stand_ins.resource.last[duty] > before[duty] for duty in fleet.duties)
     assert_safety(fleet)
 
 
-def test_a_voter_that_lost_its_disk_learns_from_the_others_and_votes_again(fleet: RealPlay) -> None:
+def test_a_voter_that_lost_its_disk_learns_from_the_others_and_votes_again(fleet: OwnershipRun) -> None:
     (restarted, stopped) = ("n1", "n2")
-    fleet.backends[restarted].end()
+    fleet.backends[restarted].kill()
     (fleet.folder / f"voter-{restarted}.state").unlink()
     fleet.backends[restarted].start()
     fleet.wait(lambda: (fleet.folder / f"voter-{restarted}.state").exists())
-    fleet.backends[stopped].end()  # from now on the vote of the restarted one is needed
+    fleet.backends[stopped].kill()  # from now on the vote of the restarted one is needed
     wait_for_steps(fleet)
     assert_safety(fleet)
 
 
-def test_without_a_majority_all_duties_stop_until_it_is_back(fleet: RealPlay) -> None:
+def test_without_a_majority_all_duties_stop_until_it_is_back(fleet: OwnershipRun) -> None:
     for name in ("n1", "n2"):
-        fleet.backends[name].end()
+        fleet.backends[name].kill()
     gevent.sleep(1.3)  # the lease
     before = steps_taken(fleet)
     gevent.sleep(1.0)
@@ -114,50 +114,50 @@
     assert_safety(fleet)
 
 
-def test_a_drain_hands_duties_over_without_waiting_for_the_lease(fleet: RealPlay) -> None:
+def test_a_drain_hands_duties_over_without_waiting_for_the_lease(fleet: OwnershipRun) -> None:
     old = fleet.owner("duty-0")
     fleet.backends[old].signal(signal.SIGTERM)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    taken = [t for t in fleet.stands.resource.taken if t.duty == "duty-0"]
+    taken = [t for t in fleet.stand_ins.resource.taken if t.duty == "duty-0"]
     gap = next(b.at - a.at for a, b in pairwise(taken) if a.owner != b.owner and a.owner.startswith(old))
     assert gap < 800.0, "under the lease of 1000 ms"
     assert_safety(fleet)
 
 
-def test_operators_query_the_fleet_and_move_a_duty(fleet: RealPlay) -> None:
-    rows = json.loads(fleet.told("members", "--json", "--at", "n0").stdout)
+def test_operators_query_the_fleet_and_move_a_duty(fleet: OwnershipRun) -> None:
+    rows = json.loads(fleet.run_fleet_command("members", "--json", "--at", "n0").stdout)
     assert [row["member"] for row in rows] == ["n0", "n1", "n2"]
-    assert "votes" in fleet.told("register", "--at", "n0").stdout
+    assert "votes" in fleet.run_fleet_command("register", "--at", "n0").stdout
     old = fleet.owner("duty-0")
     other = next(name for name in fleet.backends if name != old)
-    refused = fleet.told("step-down", "duty-0", "--at", other)
+    refused = fleet.run_fleet_command("step-down", "duty-0", "--at", other)
     assert refused.returncode == 1 and "does not own" in refused.stderr
-    assert fleet.told("step-down", "duty-0", "--at", old).returncode == 0
+    assert fleet.run_fleet_command("step-down", "duty-0", "--at", old).returncode == 0
     fleet.wait(lambda: fleet.owner("duty-0") != old)
     assert_safety(fleet)
 
 
-def test_a_lost_voter_is_replaced_while_the_duties_continue(four: RealPlay) -> None:
+def test_a_lost_voter_is_replaced_while_the_duties_continue(four: OwnershipRun) -> None:
     """n2 is lost with its disk and replaced by n3. With n1 stopped too, a majority needs the vote of n3."""
-    four.backends["n2"].end()
+    four.backends["n2"].kill()
     (four.folder / "voter-n2.state").unlink()
-    refused = four.told("replace-voters", "--add", "n3", "--at", "n0")
+    refused = four.run_fleet_command("replace-voters", "--add", "n3", "--at", "n0")
     assert refused.returncode == 1 and "an odd number is wanted" in refused.stderr
-    before = len(four.stands.resource.taken)
-    done = four.told("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
+    before = len(four.stand_ins.resource.taken)
+    done = four.run_fleet_command("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
     assert done.returncode == 0, done.stderr
-    rows = json.loads(four.told("voters", "--json", "--at", "n1").stdout)
+    rows = json.loads(four.run_fleet_command("voters", "--json", "--at", "n1").stdout)
     assert [row["voter"] for row in rows] == ["n0", "n1", "n3"]
-    assert len(four.stands.resource.taken) > before, "steps continued during the change"
+    assert len(four.stand_ins.resource.taken) > before, "steps continued during the change"
     wait_for_steps(four)
-    four.backends["n1"].end()
+    four.backends["n1"].kill()
     wait_for_steps(four, 20)
-    rows = json.loads(four.told("memory", "n1", "--json").stdout)  # its process does not run
+    rows = json.loads(four.run_fleet_command("memory", "n1", "--json").stdout)  # its process does not run
     assert {row["key"] for row in rows} >= {"duty-0", "duty-1", "fleet/voters"}
     assert_safety(four)
 
 
-def test_a_change_of_voters_is_completed_by_the_others_when_its_driver_dies(four: RealPlay) -> None:
+def test_a_change_of_voters_is_completed_by_the_others_when_its_driver_dies(four: OwnershipRun) -> None:
     """The links of n0, which drives the change, are slow: the change is incomplete when n0 dies, and n0 is
     not restarted."""
     for link, _ in four.links_of("n0"):
@@ -166,13 +166,13 @@
     def change() -> None:
         """Repeats the command, as an operator would, while n3 does not answer in time over the slow links."""
         arguments = ("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
-        while "takes no seat" in four.told(*arguments).stderr:
+        while "takes no seat" in four.run_fleet_command(*arguments).stderr:
             pass
 
     changing = gevent.spawn(change)
     logs = [four.folder / f"{name}.log" for name in ("n0", "n1", "n2")]
     four.wait(lambda: any("the voters change from" in log.read_text() for log in logs))
-    four.backends["n0"].end()
+    four.backends["n0"].kill()
     assert not any("the voters are n0, n1, n3" in log.read_text() for log in logs)
     four.wait(lambda: "the voters are n0, n1, n3" in (four.folder / "n1.log").read_text(), 30.0)
     changing.join()
@@ -180,23 +180,23 @@
     assert_safety(four)
 
 
-def test_the_fence_refuses_a_step_that_arrives_after_its_owners_lease(fleet: RealPlay) -> None:
+def test_the_fence_refuses_a_step_that_arrives_after_its_owners_lease(fleet: OwnershipRun) -> None:
     """The step was sent in time and is delayed on its way to the resource while another owner takes over.
     The clock of its owner cannot prevent that; the fence does."""
     old = fleet.owner("duty-0")
-    fleet.sinks[old].freeze(3.5, back=False)
+    fleet.resource_links[old].freeze(3.5, back=False)
     gevent.sleep(0.2)  # a step is on its way now
-    fleet.apart({old}, 3.0)
+    fleet.partition({old}, 3.0)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    fleet.wait(lambda: fleet.stands.resource.late_offered > 0)
+    fleet.wait(lambda: fleet.stand_ins.resource.late_offered > 0)
     wait_for_steps(fleet, 20)
     assert_safety(fleet)
 
 
-def test_invalid_connections_cost_a_member_one_log_line_each_and_nothing_else(fleet: RealPlay) -> None:
+def test_invalid_connections_cost_a_member_one_log_line_each_and_nothing_else(fleet: OwnershipRun) -> None:
     """Connections with the name of the member itself, of another fleet, with another version, and one that
     announces a message of 1 GB."""
-    address, name = fleet.homes["n0"], "n1"
+    address, name = fleet.member_addresses["n0"], "n1"
     rss_before_kb = rss_kb(fleet, "n0")
     for hello in (Hello(VERSION, "rig", "n0"), Hello(VERSION, "other", name), Hello(1, "rig", name)):
         assert is_disconnected(address, encode_frame(hello))
@@ -223,7 +223,7 @@
     return True
 
 
-def rss_kb(play: RealPlay, name: str) -> int:
+def rss_kb(play: OwnershipRun, name: str) -> int:
     process = play.backends[name].process
     assert process is not None
     return int(Path(f"/proc/{process.pid}/statm").read_text().split()[1]) * 4
@@ -232,26 +232,26 @@
 # -- faults of one side of a link, of a disk or of a clock
 
 
-def test_an_owner_whose_messages_are_lost_stops_although_it_receives_all_others(four: RealPlay) -> None:
+def test_an_owner_whose_messages_are_lost_stops_although_it_receives_all_others(four: OwnershipRun) -> None:
     old = four.owner("duty-0")
-    four.deaf(old, 4.0, hears=True)
+    four.freeze_one_way(old, 4.0, hears=True)
     four.wait(lambda: four.owner("duty-0") != old)
     wait_for_steps(four, 20)
     assert_safety(four)
 
 
-def test_an_owner_on_the_side_without_a_majority_stops(four: RealPlay) -> None:
+def test_an_owner_on_the_side_without_a_majority_stops(four: OwnershipRun) -> None:
     """A partition into two and two members: the owner's side has one of the three voters, so duties are
     owned on the other side only."""
     old = four.owner("duty-0")
     side = {old, "n3" if old != "n3" else "n0"}
-    four.apart(side, 6.0)
+    four.partition(side, 6.0)
     four.wait(lambda: not {four.owner(duty) for duty in four.duties} & side)
     wait_for_steps(four, 20)
     assert_safety(four)
 
 
-def test_links_slower_than_a_lease_leave_no_owner_until_they_recover(fleet: RealPlay) -> None:
+def test_links_slower_than_a_lease_leave_no_owner_until_they_recover(fleet: OwnershipRun) -> None:
     """Rounds time out after 200 ms; the links take 1.2 s each way, longer than the lease."""
     for link in fleet.links.values():
         link.slow(4.0, 1.2)
@@ -263,14 +263,14 @@
     assert_safety(fleet)
 
 
-def test_candidates_at_the_same_moment_give_one_owner(four: RealPlay) -> None:
+def test_candidates_at_the_same_moment_give_one_owner(four: OwnershipRun) -> None:
     """All other members are stopped when the owner dies, and continue together after its lease: each finds
     the duty free."""
     old = four.owner("duty-0")
     others = [one for name, one in four.backends.items() if name != old]
     for one in others:
         one.signal(signal.SIGSTOP)
-    four.backends[old].end()
+    four.backends[old].kill()
     gevent.sleep(1.4)
     for one in others:
         one.signal(signal.SIGCONT)
@@ -279,21 +279,21 @@
     assert_safety(four)
 
 
-def test_a_voter_with_an_older_copy_of_its_file_learns_before_it_votes(fleet: RealPlay) -> None:
+def test_a_voter_with_an_older_copy_of_its_file_learns_before_it_votes(fleet: OwnershipRun) -> None:
     file = fleet.folder / "voter-n1.state"
     older = file.read_bytes()
     wait_for_steps(fleet, 20)
-    fleet.backends["n1"].end()
+    fleet.backends["n1"].kill()
     file.write_bytes(older)
     fleet.backends["n1"].start()
     log = fleet.folder / "n1.log"
     fleet.wait(lambda: log.read_text().count("votes again") == 2)
-    fleet.backends["n2"].end()  # from now on the vote of n1 is needed
+    fleet.backends["n2"].kill()  # from now on the vote of n1 is needed
     wait_for_steps(fleet, 20)
     assert_safety(fleet)
 
 
-def test_a_voter_whose_disk_refuses_writes_does_not_answer_until_it_accepts_them(fleet: RealPlay) -> None:
+def test_a_voter_whose_disk_refuses_writes_does_not_answer_until_it_accepts_them(fleet: OwnershipRun) -> None:
     """Each write fails on a folder with the name of the temporary file."""
     blocked = fleet.folder / "voter-n1.state.new"
     log = fleet.folder / "n1.log"
@@ -306,7 +306,7 @@
     fleet.wait(lambda: "disk refuses a write" in log.read_text())
     wait_for_steps(fleet)  # the other two are a majority
     other = next(name for name in ("n0", "n2") if name != fleet.owner("duty-0"))
-    fleet.backends[other].end()
+    fleet.backends[other].kill()
     gevent.sleep(1.3)
     before = steps_taken(fleet)
     gevent.sleep(0.8)
@@ -318,10 +318,10 @@
 
 
 @pytest.mark.parametrize("seconds", [-3600, 3600])
-def test_a_step_of_the_wall_clock_changes_nothing(fleet: RealPlay, seconds: int) -> None:
+def test_a_step_of_the_wall_clock_changes_nothing(fleet: OwnershipRun, seconds: int) -> None:
     owners = {duty: fleet.owner(duty) for duty in fleet.duties}
     for backend in fleet.backends.values():
-        backend.wall.write_text(str(seconds if backend.name == owners["duty-0"] else 0))
+        backend.wall_clock_file.write_text(str(seconds if backend.name == owners["duty-0"] else 0))
     wait_for_steps(fleet, 20)
     assert {duty: fleet.owner(duty) for duty in fleet.duties} == owners
     assert_safety(fleet)
@@ -331,42 +331,42 @@
 def test_an_owner_stopped_together_with_its_wall_clock_offers_nothing_late(tmp_path: Path, bug: bool) -> None:
     """With leases on the wall clock, which is an injected fault, it continues as if no time had passed: the
     resource detects that, and only its fence refuses the steps."""
-    play = RealPlay(3, 3, 3, 1, True, tmp_path)
+    play = OwnershipRun(3, 3, 3, 1, True, tmp_path)
     for backend in play.backends.values():
-        backend.wall_leases = bug
+        backend.uses_wall_clock_leases = bug
     try:
-        play.begin()
+        play.start()
         for _ in range(3):  # an owner that is stopped during a step does not show the fault
             old = play.owner("duty-0")
-            stopped_at = play.stands.now()
+            stopped_at = play.stand_ins.now()
             play.backends[old].signal(signal.SIGSTOP)
             play.wait(lambda old=old: play.owner("duty-0") != old)
             wait_for_steps(play, 5)
-            file = play.backends[old].wall
+            file = play.backends[old].wall_clock_file
             offset_s = float(file.read_text() if file.exists() else 0.0)
-            offset_s -= (play.stands.now() - stopped_at) / 1000.0
+            offset_s -= (play.stand_ins.now() - stopped_at) / 1000.0
             file.write_text(str(offset_s))
             play.backends[old].signal(signal.SIGCONT)
             wait_for_steps(play, 5)
-        assert (play.stands.resource.late_offered > 0) is bug
+        assert (play.stand_ins.resource.late_offered > 0) is bug
         assert_safety(play)
     finally:
-        play.finish()
+        play.stop()
 
 
 # -- members that restart, or lose connections, during another fault
 
 
-def test_a_rolling_deploy_of_all_members_during_a_partition(four: RealPlay) -> None:
+def test_a_rolling_deploy_of_all_members_during_a_partition(four: OwnershipRun) -> None:
     """n3, which does not vote, is cut off all the time; the others are drained and restarted one after the
     other."""
-    four.apart({"n3"}, 60.0)
+    four.partition({"n3"}, 60.0)
     for name in ("n0", "n1", "n2"):
         votes = (four.folder / f"{name}.log").read_text().count("votes again")
         four.backends[name].signal(signal.SIGTERM)
         process = four.backends[name].process
         four.wait(lambda process=process: process is not None and process.poll() is not None)
-        four.backends[name].end()
+        four.backends[name].kill()
         four.backends[name].start()
         log = four.folder / f"{name}.log"
         four.wait(lambda log=log, votes=votes: log.read_text().count("votes again") > votes)
@@ -375,7 +375,7 @@
     assert_safety(four)
 
 
-def test_a_flapping_peer_does_not_move_duties_back_and_forth(four: RealPlay) -> None:
+def test_a_flapping_peer_does_not_move_duties_back_and_forth(four: OwnershipRun) -> None:
     wait_for_steps(four)
     changes = owner_changes(four)
     flapping = four.owner("duty-0")
@@ -388,35 +388,35 @@
     assert_safety(four)
 
 
-def owner_changes(play: RealPlay) -> int:
-    taken = play.stands.resource.taken
+def owner_changes(play: OwnershipRun) -> int:
+    taken = play.stand_ins.resource.taken
     return sum(
         a.owner != b.owner for duty in play.duties for a, b in pairwise([t for t in taken if t.duty == duty])
     )
 
 
-def test_a_duty_whose_new_owner_dies_goes_to_another_member(four: RealPlay) -> None:
+def test_a_duty_whose_new_owner_dies_goes_to_another_member(four: OwnershipRun) -> None:
     old = four.owner("duty-0")
-    assert four.told("step-down", "duty-0", "--at", old).returncode == 0
+    assert four.run_fleet_command("step-down", "duty-0", "--at", old).returncode == 0
     four.wait(lambda: four.owner("duty-0") != old)
-    heir = four.owner("duty-0")
-    four.backends[heir].end()
-    four.wait(lambda: four.owner("duty-0") != heir)
+    successor = four.owner("duty-0")
+    four.backends[successor].kill()
+    four.wait(lambda: four.owner("duty-0") != successor)
     wait_for_steps(four, 20)
     assert_safety(four)
 
 
-def test_a_reload_by_sighup_applies_to_the_steps_at_once(fleet: RealPlay) -> None:
+def test_a_reload_by_sighup_applies_to_the_steps_at_once(fleet: OwnershipRun) -> None:
     """The steps of each member slow down to a tenth; a changed list of voters has no effect."""
     for backend in fleet.backends.values():
-        text = backend.operators.read_text().replace("every_ms = 100", "every_ms = 1000")
-        backend.operators.write_text(text.replace('["n0", "n1", "n2"]', '["n0", "n1", "n1"]'))
+        text = backend.operators_file.read_text().replace("every_ms = 100", "every_ms = 1000")
+        backend.operators_file.write_text(text.replace('["n0", "n1", "n2"]', '["n0", "n1", "n1"]'))
         backend.signal(signal.SIGHUP)
     fleet.wait(lambda: "found one twice" in (fleet.folder / "n2.log").read_text())
     wait_for_steps(fleet)  # nothing of the file is applied: the steps are as fast as before
     for backend in fleet.backends.values():
-        text = backend.operators.read_text().replace('"n1", "n1"]', '"n1"]')
-        backend.operators.write_text(text.replace('["n0", "n1"]', '["n0"]'))
+        text = backend.operators_file.read_text().replace('"n1", "n1"]', '"n1"]')
+        backend.operators_file.write_text(text.replace('["n0", "n1"]', '["n0"]'))
         backend.signal(signal.SIGHUP)
     fleet.wait(
         lambda: all(
--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -8,25 +8,25 @@
 
 import pytest
 
-from myrtlecrank.fleet.messages import Asked, Voted
+from myrtlecrank.fleet.messages import VoterReply, VoterRequest
 from myrtlecrank.fleet.register import disk as disks
-from myrtlecrank.fleet.register.calls import Calls, replies
+from myrtlecrank.fleet.register.calls import Calls, answer_messages
 from myrtlecrank.fleet.register.caspaxos import BOOTS_PER_VOTER_SET, Proposer, Voter
 from myrtlecrank.fleet.register.messages import (
     EMPTY_RECORD,
     AddVoter,
     Ballot,
-    Known,
     Memory,
     Outcome,
     Prepare,
     Record,
     Rejoin,
+    RejoinAnswer,
     Result,
-    Seated,
+    VoterSetNotice,
 )
-from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
-from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult, reconfigure
+from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set, founding_voter_set
 from rig.multi_node import reconfiguration_fuzz, register_history
 
 ABC = founding_voter_set("abc")
@@ -66,8 +66,8 @@
         self.files.pop(name, None)
         return self.start(name)
 
-    def proposer(self, proposer_id: str = "p", voter_set: Roster | None = None) -> Proposer:
-        return Proposer(proposer_id, voter_set or guessed("abc"), lambda: 0.5, max_attempts=3)
+    def proposer(self, proposer_id: str = "p", voter_set: VoterSet | None = None) -> Proposer:
+        return Proposer(proposer_id, voter_set or configured_voter_set("abc"), lambda: 0.5, max_attempts=3)
 
     def run(self, call: Any) -> Any:
         results: list[Any] = []
@@ -79,9 +79,9 @@
                 receiver, message = sent.pop(0)
                 if receiver in self.away:
                     continue
-                for _, answer in replies(self.voters[receiver], [("p", message)]):
-                    if isinstance(answer, Voted):
-                        calls.heard(receiver, answer, self.now)
+                for _, answer in answer_messages(self.voters[receiver], [("p", message)]):
+                    if isinstance(answer, VoterReply):
+                        calls.receive_vote(receiver, answer, self.now)
             self.now += 10.0
             calls.tick(self.now)
         return results[0]
@@ -89,14 +89,18 @@
     def rejoin(self, name: str) -> bool:
         """Sends the rejoin request to the others once; the voter's actor repeats it."""
         voter = self.voters[name]
-        request = voter.rejoin()
+        request = voter.rejoin_request()
         for other in sorted(voter.others - self.away) if request else []:
-            for _, message in replies(self.voters[other], [(name, request)]):  # type: ignore[list-item]
-                replies(voter, [(other, message)])  # type: ignore[list-item]
-        return voter.voting
-
-    def reseat(self, drop: str, add: str, token: str = "t", proposer: Proposer | None = None) -> Reseated:
-        result: Reseated = self.run(reseat(proposer or self.proposer(token), drop, add, token))
+            for _, message in answer_messages(self.voters[other], [(name, request)]):  # type: ignore[list-item]
+                answer_messages(voter, [(other, message)])  # type: ignore[list-item]
+        return voter.is_voting
+
+    def reconfigure(
+        self, drop: str, add: str, token: str = "t", proposer: Proposer | None = None
+    ) -> ReconfigurationResult:
+        result: ReconfigurationResult = self.run(
+            reconfigure(proposer or self.proposer(token), drop, add, token)
+        )
         return result
 
 
@@ -106,7 +110,7 @@
 
 
 def written_record(net: Network, key: str = "k") -> Record:
-    outcome: Outcome = net.run(net.proposer("w").change(key, EMPTY_RECORD, b"x"))
+    outcome: Outcome = net.run(net.proposer("w").compare_and_set(key, EMPTY_RECORD, b"x"))
     assert outcome.result is Result.DONE
     return outcome.record
 
@@ -127,7 +131,7 @@
 
 
 def test_the_configured_voters_alone_are_never_a_majority() -> None:
-    assert not guessed("abc").has_majority([("a", ""), ("b", ""), ("c", "")])
+    assert not configured_voter_set("abc").has_majority([("a", ""), ("b", ""), ("c", "")])
 
 
 def test_fingerprints_differ_for_voter_sets_of_the_same_number() -> None:
@@ -161,21 +165,21 @@
     a = net.voters["a"]
     assert a.adopt_voter_set(JOINT) and not a.adopt_voter_set(ABC)
     (vote,) = a.answer_batch([(ABC.fingerprint(), Prepare("k", Ballot(9, "p")))])
-    assert vote is not None and not vote.granted and vote.roster == JOINT and not a.memory.slots
-    assert net.start("a").memory.roster == JOINT, "it never returns to an older one"
+    assert vote is not None and not vote.granted and vote.voter_set == JOINT and not a.memory.slots
+    assert net.start("a").memory.voter_set == JOINT, "it never returns to an older one"
 
 
 def test_a_voter_set_is_not_used_if_its_write_fails() -> None:
     a = Voter("a", "abc", Memory("f", "a", 0, {}, {}, ABC), lambda _: False, "f")
-    assert not a.adopt_voter_set(JOINT) and a.memory.roster == ABC
+    assert not a.adopt_voter_set(JOINT) and a.memory.voter_set == ABC
 
 
 def test_a_dropped_voter_does_not_vote_and_returns_the_voter_set(net: Network) -> None:
     c = net.voters["c"]
     c.adopt_voter_set(ABD)
-    assert not c.voting and c.rejoin() is None
+    assert not c.is_voting and c.rejoin_request() is None
     (vote,) = c.answer_batch([(ABD.fingerprint(), Prepare("k", Ballot(1, "p")))])
-    assert vote is None and c.answer_rejoin(Rejoin("a", 1)) == Seated(ABD)
+    assert vote is None and c.answer_rejoin(Rejoin("a", 1)) == VoterSetNotice(ABD)
 
 
 def test_a_voter_without_its_memory_writes_no_file_when_it_adopts_a_voter_set(net: Network) -> None:
@@ -183,16 +187,16 @@
     memory."""
     a = net.lose_memory("a")
     a.adopt_voter_set(JOINT)
-    assert not a.voting and "a" not in net.files and not net.start("a").voting
+    assert not a.is_voting and "a" not in net.files and not net.start("a").is_voting
 
 
 def test_a_voter_without_its_memory_needs_answers_of_all_voters_of_the_newest_voter_set(net: Network) -> None:
-    net.reseat("c", "d")
+    net.reconfigure("c", "d")
     net.away = {"c"}
     a = net.lose_memory("a")
     assert a.others == {"b", "c"}, "by the operators' file"
     net.rejoin("a")
-    assert a.others == {"b", "d"} and not a.voting
+    assert a.others == {"b", "d"} and not a.is_voting
     net.away.add("d")
     assert not net.rejoin("a")
     net.away.discard("d")
@@ -217,12 +221,12 @@
     d = net.voters["d"]
     d.adopt_voter_set(ABC)
     d.answer_batch([(ABC.fingerprint(), AddVoter("t"))])
-    joint = ABC.begin_change("c", {"d": d.memory.seat})
-    assert d.adopt_voter_set(joint) and d.voting
+    joint = ABC.begin_change("c", {"d": d.memory.identity})
+    assert d.adopt_voter_set(joint) and d.is_voting
     d.answer_batch([(joint.fingerprint(), Prepare("k", Ballot(5, "p")))])
-    net.files["d"] = disks.encode(Memory("f", "d", 0, {}, {}, ABC, d.memory.seat, "t"))
+    net.files["d"] = disks.encode(Memory("f", "d", 0, {}, {}, ABC, d.memory.identity, "t"))
     old = net.start("d", is_trusted=False)
-    assert old.adopt_voter_set(joint) and not old.voting and old.rejoin() is not None
+    assert old.adopt_voter_set(joint) and not old.is_voting and old.rejoin_request() is not None
 
 
 # -- the change
@@ -230,8 +234,8 @@
 
 def test_a_voter_is_replaced_and_chosen_records_stay(net: Network) -> None:
     record = written_record(net)
-    result = net.reseat("c", "d")
-    assert not result.wrong and result.voter_set.names == ("a", "b", "d") and result.voter_set.number == 2
+    result = net.reconfigure("c", "d")
+    assert not result.error and result.voter_set.names == ("a", "b", "d") and result.voter_set.number == 2
     net.away = {"a", "c"}
     assert net.run(net.proposer("r").read("k")) == Outcome(Result.DONE, record), "b and d are enough"
 
@@ -239,23 +243,23 @@
 def test_an_unreachable_voter_is_replaced_and_may_be_added_again(net: Network) -> None:
     record = written_record(net)
     net.away = {"c"}
-    assert not net.reseat("c", "d").wrong
+    assert not net.reconfigure("c", "d").error
     net.away = {"a"}
     assert net.run(net.proposer("r").read("k")).record == record
     net.away = set()
-    assert net.run(net.proposer("old", ABC).change("k", record, b"y")).result is Result.DONE
-    assert net.reseat("a", "c", "back").voter_set.names == ("b", "c", "d")
+    assert net.run(net.proposer("old", ABC).compare_and_set("k", record, b"y")).result is Result.DONE
+    assert net.reconfigure("a", "c", "back").voter_set.names == ("b", "c", "d")
 
 
 def test_the_old_voters_alone_choose_nothing_after_a_change(net: Network) -> None:
     net.away = {"c"}
-    net.reseat("c", "d")
+    net.reconfigure("c", "d")
     net.away = {"d"}
     stale = net.proposer("stale", ABC)
     ballot = Prepare("k", Ballot(50, "stale"))
     votes = [net.voters[name].answer_batch([(ABC.fingerprint(), ballot)])[0] for name in "abc"]
     assert [vote is not None and vote.granted for vote in votes] == [False, False, True]
-    assert net.run(stale.read("k")).result is Result.DONE and stale.roster.names == ("a", "b", "d")
+    assert net.run(stale.read("k")).result is Result.DONE and stale.voter_set.names == ("a", "b", "d")
 
 
 def test_a_voter_that_lost_its_memory_starts_anew_under_another_identity(net: Network) -> None:
@@ -266,28 +270,30 @@
     net.away = {"b"}
     assert not net.rejoin("c")
     net.away = set()
-    old = net.voters["c"].memory.seat
-    result = net.reseat("c", "c")
-    assert not result.wrong and result.voter_set.seat("c") != old
-    assert net.voters["c"].voting and net.voters["c"].memory.slots["k"].record == record
+    old = net.voters["c"].memory.identity
+    result = net.reconfigure("c", "c")
+    assert not result.error and result.voter_set.identity_of("c") != old
+    assert net.voters["c"].is_voting and net.voters["c"].memory.slots["k"].record == record
 
 
 def test_an_added_voter_that_lost_its_memory_does_not_vote_before_it_rejoins(net: Network) -> None:
-    net.reseat("c", "d")
+    net.reconfigure("c", "d")
     net.lose_memory("d")
     (vote,) = net.voters["d"].answer_batch([(ABD.fingerprint(), Prepare("k", Ballot(1, "p")))])
     assert vote is not None and not vote.granted
-    assert net.voters["d"].rejoin() is None, "the operators' file does not name it as a voter"
+    assert net.voters["d"].rejoin_request() is None, "the operators' file does not name it as a voter"
     net.run(net.proposer("r").read("k"))  # this request tells it of the newer voter set, which includes it
-    assert net.rejoin("d") and net.voters["d"].memory.seat == net.voters["a"].memory.roster.seat("d")
+    assert net.rejoin("d") and net.voters["d"].memory.identity == net.voters[
+        "a"
+    ].memory.voter_set.identity_of("d")
 
 
 def test_a_change_from_three_voters_to_five_and_back(net: Network) -> None:
     record = written_record(net)
-    assert net.reseat("", "de").voter_set.names == ("a", "b", "c", "d", "e")
+    assert net.reconfigure("", "de").voter_set.names == ("a", "b", "c", "d", "e")
     net.away = {"a", "b"}
     assert net.run(net.proposer("r").read("k")).record == record
-    assert net.reseat("ab", "", "back").voter_set.names == ("c", "d", "e")
+    assert net.reconfigure("ab", "", "back").voter_set.names == ("c", "d", "e")
 
 
 def test_an_interrupted_change_is_completed_by_another_proposer(net: Network) -> None:
@@ -296,11 +302,11 @@
     for rounds in range(1, 40):
         net = Network()
         record = written_record(net)
-        call = reseat(net.proposer("first"), "c", "d", "first")
+        call = reconfigure(net.proposer("first"), "c", "d", "first")
         if not net.run(interrupted(call, rounds)):
             break
-        result = net.reseat("", "", "second")
-        assert not result.wrong and not result.voter_set.joint, rounds
+        result = net.reconfigure("", "", "second")
+        assert not result.error and not result.voter_set.is_joint, rounds
         assert net.run(net.proposer("r").read("k")).record == record
     assert 10 < rounds < 39
 
@@ -318,10 +324,10 @@
 
 
 def test_two_concurrent_changes_are_applied_one_after_the_other(net: Network) -> None:
-    first = reseat(net.proposer("first"), "c", "d", "first")
+    first = reconfigure(net.proposer("first"), "c", "d", "first")
     net.run(interrupted(first, 6))
-    second = net.reseat("b", "e", "second")
-    assert not second.wrong and not second.voter_set.joint and "e" in second.voter_set.names
+    second = net.reconfigure("b", "e", "second")
+    assert not second.error and not second.voter_set.is_joint and "e" in second.voter_set.names
 
 
 @pytest.mark.parametrize(
@@ -332,10 +338,10 @@
     net: Network, away: str, drop: str, add: str, message: str
 ) -> None:
     net.away = set(away)
-    result = net.reseat(drop, add)
-    assert message in result.wrong and "\n" not in result.wrong
+    result = net.reconfigure(drop, add)
+    assert message in result.error and "\n" not in result.error
     net.away = set()
-    assert net.reseat("", "", "check").voter_set == ABC
+    assert net.reconfigure("", "", "check").voter_set == ABC
 
 
 def test_a_file_of_format_version_1_is_read() -> None:
@@ -351,19 +357,19 @@
     calls.start(Proposer("p", JOINT, lambda: 0.5).read("k"), lambda *_: None, 0.0)
     old = Voter("a", "abc", Memory("f", "a", 0, {}, {}, ABC), lambda _: True, "f")
     first = sent[0][1]
-    assert isinstance(first, Asked)
-    (refusal,) = old.answer_batch([(first.mark, first.ask)])
+    assert isinstance(first, VoterRequest)
+    (refusal,) = old.answer_batch([(first.roster_mark, first.ask)])
     assert refusal is not None
     del sent[:]
     for _ in range(3):
-        calls.heard("a", Voted(first.call, first.round, refusal), 1.0)
-    assert sent == [("a", Seated(JOINT)), ("a", first)]
+        calls.receive_vote("a", VoterReply(first.call, first.round, refusal), 1.0)
+    assert sent == [("a", VoterSetNotice(JOINT)), ("a", first)]
 
 
 def test_a_rejoin_answer_under_a_newer_voter_set_is_not_enough_to_vote(net: Network) -> None:
     a = net.start("a", is_trusted=False)
-    assert not a.accept_rejoin_answer(Known("b", 0, a.memory.boot, 0, {}, {}, ABD))
-    assert a.memory.roster == ABD and set(a.heard) == {"b"} and not a.voting
+    assert not a.accept_rejoin_answer(RejoinAnswer("b", 0, a.memory.boot, 0, {}, {}, ABD))
+    assert a.memory.voter_set == ABD and set(a.rejoin_answers) == {"b"} and not a.is_voting
 
 
 def test_voters_with_different_founding_voter_sets_are_detected(net: Network) -> None:
@@ -372,8 +378,8 @@
     )
     net.away = {"b"}
     proposer = net.proposer("p", ABC)
-    assert net.run(proposer.read("k")).result is Result.AWAY
-    assert proposer.unlike == founding_voter_set("cde") and proposer.roster == ABC
+    assert net.run(proposer.read("k")).result is Result.UNAVAILABLE
+    assert proposer.conflicting_voter_set == founding_voter_set("cde") and proposer.voter_set == ABC
 
 
 # -- histories
@@ -399,14 +405,14 @@
 
 def test_an_injected_fault_is_removed_again() -> None:
     before = (
-        reconfiguration_fuzz.Roster.begin_change,
+        reconfiguration_fuzz.VoterSet.begin_change,
         reconfiguration_fuzz.reseating.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     )
     for bug in reconfiguration_fuzz.BUGS:
         reconfiguration_fuzz.play(1, bug=bug)
     assert (
-        reconfiguration_fuzz.Roster.begin_change,
+        reconfiguration_fuzz.VoterSet.begin_change,
         reconfiguration_fuzz.reseating.complete_reconfiguration,
         reconfiguration_fuzz.Voter._answer,
     ) == before
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -19,7 +19,6 @@
     Accept,
     AddVoter,
     Ballot,
-    Known,
     ListKeys,
     Memory,
     Outcome,
@@ -27,11 +26,12 @@
     Record,
     Register,
     Rejoin,
+    RejoinAnswer,
     Result,
-    Seated,
     Slot,
     UnverifiedRead,
     Vote,
+    VoterSetNotice,
 )
 from myrtlecrank.fleet.register.sqlite import SqliteRegister
 from myrtlecrank.fleet.register.voter_set import founding_voter_set
@@ -62,10 +62,10 @@
     """A register of three voters in this process, some of them unreachable (`away`)."""
 
     def __init__(self, folder: Path, ident: str, voters: dict[str, Voter] | None = None) -> None:
-        self.disks = {name: disks.Disk(str(folder), "f", name) for name in NAMES}
+        self.disks = {name: disks.VoterFile(str(folder), "f", name) for name in NAMES}
         if voters is None:
             for disk in self.disks.values():
-                disk.found(NAMES)
+                disk.create(NAMES)
             voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].save, "f") for n in NAMES}
         self.voters, self.away = voters, set[str]()
         self.proposer = Proposer(ident, VOTER_SET, lambda: 0.5, max_attempts=3)
@@ -87,11 +87,11 @@
     def read(self, key: str) -> Outcome:
         return self._run(self.proposer.read(key))
 
-    def glance(self, key: str) -> Outcome:
-        return self._run(self.proposer.glance(key))
+    def read_unverified(self, key: str) -> Outcome:
+        return self._run(self.proposer.read_unverified(key))
 
-    def change(self, key: str, over: Record, value: bytes) -> Outcome:
-        return self._run(self.proposer.change(key, over, value))
+    def compare_and_set(self, key: str, over: Record, value: bytes) -> Outcome:
+        return self._run(self.proposer.compare_and_set(key, over, value))
 
 
 @pytest.fixture(params=["voters", "sqlite"])
@@ -115,18 +115,18 @@
 def test_a_change_is_visible_to_the_other_process_and_versions_grow_by_one(
     registers: tuple[Register, Register],
 ) -> None:
-    first = registers[0].change("k", EMPTY_RECORD, b"x")
+    first = registers[0].compare_and_set("k", EMPTY_RECORD, b"x")
     assert first.result is Result.DONE and first.record.version == 1
-    assert registers[1].read("k").record == first.record == registers[1].glance("k").record
-    second = registers[1].change("k", first.record, b"y")
+    assert registers[1].read("k").record == first.record == registers[1].read_unverified("k").record
+    second = registers[1].compare_and_set("k", first.record, b"y")
     assert (second.record.version, registers[0].read("k").record.value) == (2, b"y")
 
 
 def test_a_change_over_an_outdated_record_changes_nothing_and_returns_the_current_one(
     registers: tuple[Register, Register],
 ) -> None:
-    first = registers[0].change("k", EMPTY_RECORD, b"x")
-    assert registers[1].change("k", EMPTY_RECORD, b"y") == Outcome(Result.CONFLICT, first.record)
+    first = registers[0].compare_and_set("k", EMPTY_RECORD, b"x")
+    assert registers[1].compare_and_set("k", EMPTY_RECORD, b"y") == Outcome(Result.CONFLICT, first.record)
     assert registers[0].read("k").record.value == b"x"
 
 
@@ -134,12 +134,12 @@
     registers: tuple[Register, Register],
 ) -> None:
     """Two calls may propose records of one version; a change over the one that was not chosen must fail."""
-    registers[0].change("k", EMPTY_RECORD, b"x")
-    assert registers[1].change("k", Record(1, b"x", "somebody else"), b"y").result is Result.CONFLICT
+    registers[0].compare_and_set("k", EMPTY_RECORD, b"x")
+    assert registers[1].compare_and_set("k", Record(1, b"x", "somebody else"), b"y").result is Result.CONFLICT
 
 
 def test_keys_are_independent(registers: tuple[Register, Register]) -> None:
-    registers[0].change("k", EMPTY_RECORD, b"x")
+    registers[0].compare_and_set("k", EMPTY_RECORD, b"x")
     assert (
         registers[0].read("other").record is EMPTY_RECORD or registers[0].read("other").record == EMPTY_RECORD
     )
@@ -150,7 +150,7 @@
     registers: tuple[Register, Register], key: str, value: bytes
 ) -> None:
     with pytest.raises(ValueError, match="not"):
-        registers[0].change(key, EMPTY_RECORD, value)
+        registers[0].compare_and_set(key, EMPTY_RECORD, value)
     assert registers[0].read("k").record == EMPTY_RECORD
 
 
@@ -159,9 +159,9 @@
         SqliteRegister(str(tmp_path / "r.db"), who, lock_timeout_ms=30.0) for who in ("one", "two")
     )
     holder.connection.execute("BEGIN IMMEDIATE")
-    assert waiter.change("k", EMPTY_RECORD, b"x").result is Result.AWAY
+    assert waiter.compare_and_set("k", EMPTY_RECORD, b"x").result is Result.UNAVAILABLE
     holder.connection.execute("ROLLBACK")
-    assert waiter.change("k", EMPTY_RECORD, b"x").result is Result.DONE
+    assert waiter.compare_and_set("k", EMPTY_RECORD, b"x").result is Result.DONE
     holder.close()
     waiter.close()
 
@@ -172,15 +172,15 @@
 def test_without_a_majority_nothing_is_read_and_nothing_changes(tmp_path: Path) -> None:
     register = LocalRegister(tmp_path, "one")
     register.away = {"a", "b"}
-    assert register.read("k").result is register.glance("k").result is Result.AWAY
-    assert register.change("k", EMPTY_RECORD, b"x").result is Result.AWAY
+    assert register.read("k").result is register.read_unverified("k").result is Result.UNAVAILABLE
+    assert register.compare_and_set("k", EMPTY_RECORD, b"x").result is Result.UNAVAILABLE
     register.away = {"c"}
     assert register.read("k").record == EMPTY_RECORD
 
 
 def test_a_majority_lost_between_the_rounds_leaves_the_outcome_unknown(tmp_path: Path) -> None:
     register = LocalRegister(tmp_path, "one")
-    call = register.proposer.change("k", EMPTY_RECORD, b"x")
+    call = register.proposer.compare_and_set("k", EMPTY_RECORD, b"x")
     step = next(call)
     votes = [answer(v, step.request) for v in register.voters.values()]  # type: ignore[union-attr]
     step = call.send([vote for vote in votes if vote is not None])
@@ -211,7 +211,7 @@
     """All votes of the first accept round are lost, though the voters accepted: the next attempt finds the
     record and recognizes its writer."""
     register = LocalRegister(tmp_path, "one")
-    call = register.proposer.change("k", EMPTY_RECORD, b"x")
+    call = register.proposer.compare_and_set("k", EMPTY_RECORD, b"x")
     step: Any = next(call)
     step = call.send([answer(v, step.request) for v in register.voters.values()])
     for v in register.voters.values():
@@ -246,7 +246,7 @@
 
 def test_a_voter_whose_write_fails_does_not_answer() -> None:
     v = voter(write_succeeds=False)
-    assert answer(v, Prepare("k", Ballot(1, "p"))) is None and v.failed
+    assert answer(v, Prepare("k", Ballot(1, "p"))) is None and v.last_write_failed
 
 
 def test_several_requests_are_made_durable_by_one_write() -> None:
@@ -268,14 +268,14 @@
     answer(c, Accept("k", Ballot(3, "q"), Record(1, b"x", "q:1")))
     a = voter_without_memory("a")
     unknowing = answer(a, Prepare("k", Ballot(9, "p")))
-    assert unknowing is not None and not unknowing.granted and unknowing.roster is not None
+    assert unknowing is not None and not unknowing.granted and unknowing.voter_set is not None
     assert a.adopt_voter_set(VOTER_SET) and answer(a, Prepare("k", Ballot(9, "p"))) is None
-    asked = a.rejoin()
+    asked = a.rejoin_request()
     assert asked == Rejoin("a", 1)
     known = b.answer_rejoin(asked)
     assert known is not None and not a.accept_rejoin_answer(known), "one of the two is not enough"
     other = c.answer_rejoin(asked)
-    assert other is not None and a.accept_rejoin_answer(other) and a.rejoin() is None
+    assert other is not None and a.accept_rejoin_answer(other) and a.rejoin_request() is None
     assert a.memory.slots["k"] == Slot(Ballot(7, "p"), Ballot(3, "q"), Record(1, b"x", "q:1"))
 
 
@@ -287,11 +287,11 @@
     b = voter("b")
     b.memory.known_boots["a"] = 4
     a = voter_without_memory("a")
-    asked = a.rejoin()
+    asked = a.rejoin_request()
     assert asked is not None
     known = b.answer_rejoin(asked)
     assert known is not None and not a.accept_rejoin_answer(known)
-    assert a.rejoin() == Rejoin("a", 5)
+    assert a.rejoin_request() == Rejoin("a", 5)
 
 
 def test_votes_of_an_outdated_boot_number_do_not_count() -> None:
@@ -301,13 +301,13 @@
     high = Prepare("k", Ballot(9, "slow"))
     early = answer(a, high)
     a = voter_without_memory("a")
-    asked = a.rejoin()
+    asked = a.rejoin_request()
     assert asked is not None
     for other in (b, c):
         known = other.answer_rejoin(asked)
         assert known is not None
         a.accept_rejoin_answer(known)
-    assert a.voting
+    assert a.is_voting
     for v in (a, c):
         assert answer(v, Accept("k", Ballot(1, "quick"), Record(1, b"x", "quick:1")))
     late = answer(b, high)
@@ -324,14 +324,14 @@
 
 
 def test_a_saved_memory_is_loaded_unchanged(tmp_path: Path) -> None:
-    disk = disks.Disk(str(tmp_path), "f", "a")
+    disk = disks.VoterFile(str(tmp_path), "f", "a")
     assert disk.load() is None
-    disk.found(NAMES)
+    disk.create(NAMES)
     slot = Slot(Ballot(2, "p"), Ballot(1, "q"), Record(1, b"x", "q:1"))
     memory = Memory("f", "a", 3, {"k": slot}, {"b": 2})
     assert disk.save(memory) and disk.load() == memory
     with pytest.raises(FileExistsError):
-        disk.found(NAMES)
+        disk.create(NAMES)
 
 
 DAMAGED_FILES: dict[str, tuple[Callable[[bytes], bytes], str]] = {
@@ -346,25 +346,25 @@
 
 @pytest.mark.parametrize("case", list(DAMAGED_FILES))
 def test_a_damaged_file_is_refused_with_one_line(tmp_path: Path, case: str) -> None:
-    disk = disks.Disk(str(tmp_path), "f", "a")
-    disk.found(NAMES)
+    disk = disks.VoterFile(str(tmp_path), "f", "a")
+    disk.create(NAMES)
     damage, message = DAMAGED_FILES[case]
     Path(disk.path).write_bytes(damage(Path(disk.path).read_bytes()))
-    with pytest.raises(disks.TornError, match=message) as caught:
+    with pytest.raises(disks.UnusableFileError, match=message) as caught:
         disk.load()
     assert "\n" not in str(caught.value)
 
 
 def test_a_file_of_another_voter_or_fleet_is_refused(tmp_path: Path) -> None:
-    disks.Disk(str(tmp_path), "f", "a").found(NAMES)
+    disks.VoterFile(str(tmp_path), "f", "a").create(NAMES)
     (tmp_path / "voter-a.state").rename(tmp_path / "voter-b.state")
-    with pytest.raises(disks.TornError, match="belongs to voter 'a' of fleet 'f'"):
-        disks.Disk(str(tmp_path), "f", "b").load()
+    with pytest.raises(disks.UnusableFileError, match="belongs to voter 'a' of fleet 'f'"):
+        disks.VoterFile(str(tmp_path), "f", "b").load()
 
 
 def test_a_failed_write_leaves_the_old_memory(tmp_path: Path) -> None:
-    disk = disks.Disk(str(tmp_path), "f", "a")
-    disk.found(NAMES)
+    disk = disks.VoterFile(str(tmp_path), "f", "a")
+    disk.create(NAMES)
     (tmp_path / "voter-a.state.new").mkdir()  # makes the write fail
     assert not disk.save(Memory("f", "a", 9, {}, {}))
     memory = disk.load()
@@ -400,17 +400,17 @@
         (ListKeys(), {"type": "Keys"}),
         (AddVoter("t"), {"type": "Enlist", "token": "t"}),
         (Rejoin("a", 1), {"type": "Rejoin", "voter": "a", "boot": 1}),
-        (Seated(VOTER_SET), {"type": "Seated", "roster": roster_out}),
+        (VoterSetNotice(VOTER_SET), {"type": "Seated", "roster": roster_out}),
         (vote, vote_out),
         (Vote("a", 1, False), {"type": "Vote", "voter": "a", "boot": 1, "granted": False}),
-        (Known("a", 1, 2, 3, {"k": slot}, {"b": 2}, VOTER_SET), known_out),
+        (RejoinAnswer("a", 1, 2, 3, {"k": slot}, {"b": 2}, VOTER_SET), known_out),
         (
             Memory("f", "a", 1, {"k": slot}, {"b": 2}, VOTER_SET, "a/1:1", "t"),
             memory_out | {"roster": roster_out, "seat": "a/1:1", "token": "t"},
         ),
         (version_1, memory_out | {"voters": ["a"]}),
         (Lease("a/1", 1, 2, "b", 3), {"owner": "a/1", "epoch": 1, "turn": 2, "heir": "b", "progress": 3}),
-        (Outcome(Result.AWAY, record), {"result": "away", "record": record_out}),
+        (Outcome(Result.UNAVAILABLE, record), {"result": "away", "record": record_out}),
     ]
     for value, expected in written:
         packed = msgspec.msgpack.encode(value)
@@ -454,7 +454,7 @@
 
 def test_the_answer_to_a_first_rejoin_request_says_that_no_boot_was_known() -> None:
     known = voter("b").answer_rejoin(Rejoin("a", 1))
-    assert isinstance(known, Known) and known.requested_boot == 1 and known.previous_boot == 0
+    assert isinstance(known, RejoinAnswer) and known.requested_boot == 1 and known.previous_boot == 0
 
 
 def test_no_order_of_events_lets_two_proposers_change_one_record() -> None:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import ask_bytes
+from helpers import exchange_frame
 
 from myrtlecrank.frames import codec
 from myrtlecrank.frames.ring_buffer import RingBuffer
@@ -24,7 +24,7 @@
 
 def test_frames_are_the_same_however_their_bytes_are_split() -> None:
     body = bytes(range(256)) * 8
-    whole = b"".join(ask_bytes(stream, body=body) for stream in (1, 2, 3))
+    whole = b"".join(exchange_frame(stream, body=body) for stream in (1, 2, 3))
     whole += codec.encode_frame(codec.HEALTH_CHECK, 9, b"\0")
     rng = random.Random(1)
     for _ in range(50):
@@ -36,7 +36,7 @@
 
 
 def test_value_length_takes_two_bytes() -> None:
-    assert decode(ask_bytes(1, o="k" * 700))[0].subject == "k" * 700
+    assert decode(exchange_frame(1, o="k" * 700))[0].subject == "k" * 700
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
     ],
 )
 def test_invalid_request_leaves_the_next_frame_readable(changes: dict[str, Any], reason: str) -> None:
-    invalid, valid = decode(ask_bytes(7, **changes) + ask_bytes(8))
+    invalid, valid = decode(exchange_frame(7, **changes) + exchange_frame(8))
     assert isinstance(invalid, codec.InvalidRequest) and invalid.stream == 7 and reason in invalid.reason
     assert isinstance(valid, codec.Request)
 
@@ -89,13 +89,13 @@
 
 def test_fields_longer_than_their_frame_do_not_read_the_next_frame() -> None:
     short = codec.encode_frame(codec.REQUEST, 1, b"\x01\x01i\xff\xff")
-    invalid, valid = decode(short + ask_bytes(2))
+    invalid, valid = decode(short + exchange_frame(2))
     assert isinstance(invalid, codec.InvalidRequest) and valid.stream == 2
 
 
 def test_overlong_frame_is_skipped_without_being_buffered() -> None:
-    long = ask_bytes(1, body=bytes(200_000))
-    invalid, valid = decode(*(long[i : i + 1000] for i in range(0, len(long), 1000)), ask_bytes(2))
+    long = exchange_frame(1, body=bytes(200_000))
+    invalid, valid = decode(*(long[i : i + 1000] for i in range(0, len(long), 1000)), exchange_frame(2))
     assert isinstance(invalid, codec.InvalidRequest) and invalid.stream == 1 and valid.stream == 2
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,16 +7,16 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import Play, group
+from helpers import CoreHarness, group
 
 from myrtlecrank import subsystems
 from myrtlecrank.cli import main
-from myrtlecrank.core.messages import Adopt
-from myrtlecrank.edge.accept_rate import Accepting
-from myrtlecrank.operators.file import MAX_FILE_BYTES, OperatorsError
+from myrtlecrank.core.messages import RetryOptionsChanged
+from myrtlecrank.edge.accept_rate import AcceptRateOptions
+from myrtlecrank.operators.file import MAX_FILE_BYTES, OperatorsFileError
 from myrtlecrank.policy.interface import Gauges
 from myrtlecrank.retries.estimator import StormStatus
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from myrtlecrank.retries.storm_log import StormLog
 
 ROOT = Path(__file__).parent.parent
@@ -26,7 +26,7 @@
     """The lines of the error that reading this text as the operators' file raises, without the path."""
     file = tmp_path / "operators.toml"
     file.write_bytes(text if isinstance(text, bytes) else text.encode())
-    with pytest.raises(OperatorsError) as error:
+    with pytest.raises(OperatorsFileError) as error:
         subsystems.load(str(file))
     return [line.removeprefix(f"{file}: ") for line in str(error.value).splitlines()]
 
@@ -44,8 +44,8 @@
 
 def test_the_shipped_file_has_the_defaults() -> None:
     shipped = subsystems.load(str(ROOT / "deploy/operators.toml"))
-    assert shipped.repeats == Bounds()
-    assert shipped.accepting == Accepting()
+    assert shipped.repeats == RetryOptions()
+    assert shipped.accepting == AcceptRateOptions()
 
 
 def test_an_unknown_key_names_the_nearest_known_one(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
 def test_windows_line_ends_and_a_byte_order_mark_are_accepted(tmp_path: Path) -> None:
     file = tmp_path / "o.toml"
     file.write_bytes(b"\xef\xbb\xbf[repeats]\r\nend_ms = 100\r\n")
-    assert subsystems.load(str(file)).repeats == Bounds(end_ms=100.0)
+    assert subsystems.load(str(file)).repeats == RetryOptions(end_ms=100.0)
 
 
 def test_a_section_that_is_off_equals_one_that_is_left_out(tmp_path: Path) -> None:
@@ -116,7 +116,7 @@
     monkeypatch.chdir(tmp_path)
     assert subsystems.load() == subsystems.OperatorOptions()
     monkeypatch.setenv("MYRTLECRANK_OPERATORS", str(tmp_path / "gone.toml"))
-    with pytest.raises(OperatorsError, match="cannot be read"):
+    with pytest.raises(OperatorsFileError, match="cannot be read"):
         subsystems.load()
 
 
@@ -130,35 +130,35 @@
     assert len(result.output.splitlines()) == 2
 
 
-def backend_in_retry_storm() -> Play:
-    play = Play(group(timeout=2500.0))
-    play.turn(0.0, Adopt(Bounds(least_arrivals=1, begin_ms=0.0)))
-    assert play.core.repeats is not None
-    play.core.repeats.storm = True
-    return play
+def backend_in_retry_storm() -> CoreHarness:
+    harness = CoreHarness(group(timeout=2500.0))
+    harness.process_batch(0.0, RetryOptionsChanged(RetryOptions(least_arrivals=1, begin_ms=0.0)))
+    assert harness.core.retry_estimator is not None
+    harness.core.retry_estimator.storm = True
+    return harness
 
 
 def test_options_that_change_in_a_retry_storm_keep_the_estimate() -> None:
-    play = backend_in_retry_storm()
-    before = play.core.repeats
-    play.turn(10.0, Adopt(Bounds(least_arrivals=1, digests=128)))
-    assert play.core.repeats is before and before is not None and before.storm
+    harness = backend_in_retry_storm()
+    before = harness.core.retry_estimator
+    harness.process_batch(10.0, RetryOptionsChanged(RetryOptions(least_arrivals=1, digests=128)))
+    assert harness.core.retry_estimator is before and before is not None and before.storm
     assert before.uncompleted.capacity == 128
 
 
 def test_turning_the_section_off_ends_a_retry_storm_and_every_exchange_is_answered() -> None:
-    play = backend_in_retry_storm()
-    assert play.core.controller is not None
-    play.core.controller.is_retry_storm = True
+    harness = backend_in_retry_storm()
+    assert harness.core.controller is not None
+    harness.core.controller.is_retry_storm = True
     for caller in range(40):
-        play.ask(f"{caller:016x}", 1.0, caller=caller, wait=2500.0)
-    play.turn(10.0, Adopt(None))
+        harness.submit(f"{caller:016x}", 1.0, caller=caller, caller_timeout=2500.0)
+    harness.process_batch(10.0, RetryOptionsChanged(None))
     for now in range(100, 4000, 100):
-        play.turn(float(now))
-        play.core.controller.alarm("beat", Gauges(1.0, 6.0, 0.1, 1.0), float(now))
-    assert play.core.repeats is None
-    assert not play.core.controller.is_retry_storm
-    assert len(play.answers) == len({answer.ticket.ident for answer in play.answers}) == 40
+        harness.process_batch(float(now))
+        harness.core.controller.sample_due("beat", Gauges(1.0, 6.0, 0.1, 1.0), float(now))
+    assert harness.core.retry_estimator is None
+    assert not harness.core.controller.is_retry_storm
+    assert len(harness.answers) == len({answer.request.exchange_id for answer in harness.answers}) == 40
 
 
 def test_a_retry_storm_is_logged_when_it_begins_each_minute_and_when_it_ends() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,7 @@
 
 import pytest
 from gevent import socket
-from helpers import ask_bytes
+from helpers import exchange_frame
 
 from myrtlecrank import configuration
 from myrtlecrank.log import MAX_LINES, RateLimitFilter
@@ -192,7 +192,7 @@
         assert b'{"phase":"UP"}' in reports.recv(4096)
         reports.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         caller = socket.create_connection(address)
-        caller.sendall(ask_bytes(1, s=str(int(time.time() * 1000)), d="8000"))
+        caller.sendall(exchange_frame(1, s=str(int(time.time() * 1000)), d="8000"))
         commands = b""
         while b"launch" not in commands:
             commands += agent_connection.recv(4096)
@@ -261,7 +261,7 @@
         agent_connection.sendall(b"greeting LOADED 9000\r\n")
         receive_until(lists[1].accept()[0], b'{"phase":"UP"}')
         caller = socket.create_connection(address)
-        caller.sendall(ask_bytes(1, s=str(int(time.time() * 1000)), d="8000"))
+        caller.sendall(exchange_frame(1, s=str(int(time.time() * 1000)), d="8000"))
         receive_until(agent_connection, b"launch")
         agent_connection.sendall(b"aside 7 hello\r\n")
         for text in ("{", json.dumps(config_with_listeners(3) | {"name": "n4"}), ""):
@@ -394,7 +394,9 @@
 
         def send_read(stream: int) -> None:
             body = b"body %d" % stream
-            caller.sendall(ask_bytes(stream, body, s=str(int(time.time() * 1000)), d="8000", o="subject"))
+            caller.sendall(
+                exchange_frame(stream, body, s=str(int(time.time() * 1000)), d="8000", o="subject")
+            )
             assert receive_until(agent_connection, body).count(b"launch %016x group 6" % stream) == 1
 
         def end_run(number: int, stream: int) -> None:
@@ -431,7 +433,7 @@
         caller = socket.create_connection(address)
         for stream, dependency in enumerate(dependencies, 1):
             exchange_id = b"%016x" % stream
-            caller.sendall(ask_bytes(stream, s=str(int(time.time() * 1000)), d="8000"))
+            caller.sendall(exchange_frame(stream, s=str(int(time.time() * 1000)), d="8000"))
             receive_until(agent_connection, b"launch " + exchange_id)
             agent_connection.sendall(b"request %d %b 12\r\nout\r\noutcome\r\n" % (2 * stream, exchange_id))
             dependency_connection = dependency.accept()[0]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from myrtlecrank.retries.abandoned import UncompletedDigests
 from myrtlecrank.retries.caller_timeouts import TimeoutHistogram
-from myrtlecrank.retries.estimator import Repeats
+from myrtlecrank.retries.estimator import RetryEstimator
 from myrtlecrank.retries.noncompliance import ComplianceTracker
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
+from myrtlecrank.retries.uncompleted import UncompletedDigests
 
 DEADLINE = 2500.0
 
@@ -19,7 +19,7 @@
     """A sequence of arrivals, one each 10 ms, and the estimator that records them."""
 
     def __init__(self, seed: int = 1, **options: object) -> None:
-        self.repeats = Repeats([DEADLINE], seed, Bounds(**options), 0.0)  # type: ignore[arg-type]
+        self.estimator = RetryEstimator([DEADLINE], seed, RetryOptions(**options), 0.0)  # type: ignore[arg-type]
         self.rng = random.Random(seed)
         self.now = 0.0
         self.count = 0
@@ -28,12 +28,12 @@
         self.count += 1
         self.now += 10.0
         body = b"subject %d" % self.count if body is None else body
-        return self.repeats.arrived(0, 0, rank, body, caller, left, self.now, self.now)
+        return self.estimator.arrived(0, 0, rank, body, caller, left, self.now, self.now)
 
     def first_tries(self, arrivals: int = 200, left: float = 1000.0, caller: int = 1) -> None:
         for _ in range(arrivals):
             self.arrive(left, caller)
-            self.repeats.answered(0, 0, 0.5, b"subject %d" % self.count, caller, False, 0.0, None, self.now)
+            self.estimator.answered(0, 0, 0.5, b"subject %d" % self.count, caller, False, 0.0, None, self.now)
 
     def storm(self, seconds: int = 3, retry_share: float = 0.6, caller: int = 2) -> None:
         """First tries among retries whose remaining time lies anywhere; a sampling tick each 100 ms."""
@@ -41,7 +41,7 @@
             is_retry = self.rng.random() < retry_share
             self.arrive(self.rng.uniform(100.0, 2400.0) if is_retry else 1000.0, caller if is_retry else 1)
             if i % 10 == 0:
-                self.repeats.tide(self.now)
+                self.estimator.update_storm_status(self.now)
 
 
 def test_arrivals_off_the_peak_of_remaining_times_are_probably_retries() -> None:
@@ -83,14 +83,14 @@
     traffic = Traffic(least_arrivals=40)
     for _ in range(39):
         assert traffic.arrive(traffic.rng.uniform(10.0, 2400.0)).retry_probability == 0.0
-    assert traffic.repeats.tide(traffic.now).retry_share is None
-    assert not traffic.repeats.tide(traffic.now).storm
+    assert traffic.estimator.update_storm_status(traffic.now).retry_share is None
+    assert not traffic.estimator.update_storm_status(traffic.now).storm
 
 
 def test_a_storm_that_is_on_from_the_first_arrival_is_detected() -> None:
     traffic = Traffic()
     traffic.storm(seconds=5, retry_share=0.6)
-    status = traffic.repeats.tide(traffic.now)
+    status = traffic.estimator.update_storm_status(traffic.now)
     assert status.storm
     assert status.retry_share == pytest.approx(0.55, abs=0.12)
 
@@ -98,13 +98,13 @@
 def test_a_storm_is_detected_and_ends_with_the_retries() -> None:
     traffic = Traffic()
     traffic.first_tries()
-    assert not traffic.repeats.tide(traffic.now).storm
+    assert not traffic.estimator.update_storm_status(traffic.now).storm
     traffic.storm()
-    assert traffic.repeats.tide(traffic.now).storm
+    assert traffic.estimator.update_storm_status(traffic.now).storm
     for _ in range(60):
         traffic.first_tries(10)
-        traffic.repeats.tide(traffic.now)
-    assert not traffic.repeats.tide(traffic.now).storm
+        traffic.estimator.update_storm_status(traffic.now)
+    assert not traffic.estimator.update_storm_status(traffic.now).storm
 
 
 def test_one_caller_with_nine_tenths_of_the_traffic_and_no_retries_is_no_storm() -> None:
@@ -112,8 +112,8 @@
     for i in range(2000):
         traffic.arrive(1000.0, caller=9 if i % 10 else 1)
         if i % 10 == 0:
-            traffic.repeats.tide(traffic.now)
-    status = traffic.repeats.tide(traffic.now)
+            traffic.estimator.update_storm_status(traffic.now)
+    status = traffic.estimator.update_storm_status(traffic.now)
     assert not status.storm and status.noncompliant_callers == 0
     assert status.retry_share is not None and status.retry_share < 0.02
 
@@ -122,7 +122,7 @@
     traffic = Traffic()
     traffic.first_tries(caller=7)
     traffic.storm(caller=7)
-    assert traffic.repeats.tide(traffic.now).storm
+    assert traffic.estimator.update_storm_status(traffic.now).storm
 
 
 def test_retries_that_come_to_each_backend_once_are_detected_by_their_remaining_time() -> None:
@@ -130,28 +130,28 @@
     traffic = Traffic()
     traffic.first_tries()
     traffic.storm(retry_share=0.7)
-    share = traffic.repeats.tide(traffic.now).retry_share
+    share = traffic.estimator.update_storm_status(traffic.now).retry_share
     assert share is not None and share > 0.5
 
 
 def test_a_retry_is_recognised_by_its_digest_where_no_remaining_time_is_stated() -> None:
-    repeats = Repeats([DEADLINE], 1, Bounds(least_arrivals=1), 0.0)
-    repeats.arrived(0, 0, 0.5, b"one", 1, None, 0.0, 0.0)
-    repeats.answered(0, 0, 0.5, b"one", 1, True, 0.0, None, 10.0)
-    assert repeats.arrived(0, 0, 0.5, b"one", 1, None, 20.0, 20.0).retry_probability > 0.9
-    assert repeats.arrived(0, 1, 0.5, b"one", 1, None, 21.0, 21.0).retry_probability == 0.0, (
+    estimator = RetryEstimator([DEADLINE], 1, RetryOptions(least_arrivals=1), 0.0)
+    estimator.arrived(0, 0, 0.5, b"one", 1, None, 0.0, 0.0)
+    estimator.answered(0, 0, 0.5, b"one", 1, True, 0.0, None, 10.0)
+    assert estimator.arrived(0, 0, 0.5, b"one", 1, None, 20.0, 20.0).retry_probability > 0.9
+    assert estimator.arrived(0, 1, 0.5, b"one", 1, None, 21.0, 21.0).retry_probability == 0.0, (
         "of another tenant"
     )
-    assert repeats.arrived(0, 0, 0.5, b"two", 1, None, 22.0, 22.0).retry_probability == 0.0
+    assert estimator.arrived(0, 0, 0.5, b"two", 1, None, 22.0, 22.0).retry_probability == 0.0
 
 
 def test_a_popular_subject_is_distinguished_from_retries() -> None:
     """Twenty callers ask for the same subject; one of them is denied, and another one arrives."""
-    repeats = Repeats([DEADLINE], 1, Bounds(least_arrivals=1), 0.0)
+    estimator = RetryEstimator([DEADLINE], 1, RetryOptions(least_arrivals=1), 0.0)
     for at in range(20):
-        repeats.arrived(0, 0, 0.5, b"stop", at, None, float(at), float(at))
-    repeats.answered(0, 0, 0.5, b"stop", 3, True, 0.0, None, 21.0)
-    assert repeats.arrived(0, 0, 0.5, b"stop", 30, None, 22.0, 22.0).retry_probability == 0.0
+        estimator.arrived(0, 0, 0.5, b"stop", at, None, float(at), float(at))
+    estimator.answered(0, 0, 0.5, b"stop", 3, True, 0.0, None, 21.0)
+    assert estimator.arrived(0, 0, 0.5, b"stop", 30, None, 22.0, 22.0).retry_probability == 0.0
 
 
 def test_a_flood_of_distinct_digests_shortens_the_memory_and_cannot_fill_it() -> None:
@@ -178,19 +178,21 @@
     import tracemalloc
 
     rng = random.Random(6)
-    repeats = Repeats([DEADLINE, DEADLINE], 1, Bounds(), 0.0)
+    estimator = RetryEstimator([DEADLINE, DEADLINE], 1, RetryOptions(), 0.0)
     tracemalloc.start()
     now = 0.0
     for i in range(36_000):
         now += 100.0
         body = b"%d" % i
-        repeats.arrived(i % 2, 0, 0.5, body, rng.randrange(100_000), rng.uniform(10.0, 2400.0), now, now)
-        repeats.answered(i % 2, 0, 0.5, body, i % 100_000, i % 3 == 0, 100.0, 3.0, now + 1.0)
-        repeats.tide(now)
+        estimator.arrived(i % 2, 0, 0.5, body, rng.randrange(100_000), rng.uniform(10.0, 2400.0), now, now)
+        estimator.answered(i % 2, 0, 0.5, body, i % 100_000, i % 3 == 0, 100.0, 3.0, now + 1.0)
+        estimator.update_storm_status(now)
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    fixed = repeats.uncompleted.size_bytes + sum(p.bins.itemsize * len(p.bins) for p in repeats.histograms)
-    assert len(repeats.compliance.callers) <= Bounds().callers
+    fixed = estimator.uncompleted.size_bytes + sum(
+        p.bins.itemsize * len(p.bins) for p in estimator.histograms
+    )
+    assert len(estimator.compliance.callers) <= RetryOptions().callers
     assert peak + fixed < 2_000_000
 
 
@@ -199,9 +201,9 @@
     traffic.first_tries()
     traffic.storm()
     traffic.now -= 60_000.0
-    assert traffic.repeats.tide(traffic.now).storm
+    assert traffic.estimator.update_storm_status(traffic.now).storm
     traffic.arrive(1000.0)
-    assert traffic.repeats.tide(traffic.now + 100.0).storm
+    assert traffic.estimator.update_storm_status(traffic.now + 100.0).storm
 
 
 def advise_to_stay_away(tracker: ComplianceTracker, caller: int, now: float, wait: float = 300.0) -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from myrtlecrank.settings import Fields
 from myrtlecrank.simulator_adapter import host
 from myrtlecrank.simulator_adapter.protocol import ProtocolError
@@ -79,12 +79,12 @@
 
 
 def test_simulated_backend_uses_the_retry_estimate() -> None:
-    one = host.Instance(3, Fields(START, "start"), 0.0, Bounds(least_arrivals=1, begin_ms=0.0))
-    assert one.repeats is not None
+    one = host.Instance(3, Fields(START, "start"), 0.0, RetryOptions(least_arrivals=1, begin_ms=0.0))
+    assert one.retry_estimator is not None
     for call in range(1, 400):
         left = 900_000 if call % 2 else 3_000_000 - call * 5_000
         one.event(Fields(INBOUND | {"call": call, "patienceLeft": left}, "inbound"), call * 10.0)
         if call % 10 == 0:
             one.event(Fields({"msg": "fired", "name": "beat"}, "fired"), call * 10.0)
-    assert one.repeats.tide(4000.0).retry_share == pytest.approx(0.45, abs=0.1)
+    assert one.retry_estimator.update_storm_status(4000.0).retry_share == pytest.approx(0.45, abs=0.1)
     assert one.controller.is_retry_storm
