--- a/myrtlecrank/retries/estimator.py
+++ b/myrtlecrank/retries/estimator.py
@@ -1,7 +1,7 @@
 """The retry estimator: for each arrival the probability that it is a retry and the age of its first try, and
 for the backend the share of retries and whether there is a retry storm.
 
-Free of I/O and clocks: it is called with facts and the current time, in ms."""
+Free of I/O and clocks: each call passes the current time, in ms."""
 
 from __future__ import annotations
 
--- a/rig/results.py
+++ b/rig/results.py
@@ -1,4 +1,4 @@
-"""How results are kept: result.json, table.md and chart.png in one folder."""
+"""Saves results as result.json, table.md and chart.png in one folder."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from typing import Any
 
 from myrtlecrank import __version__
-from rig.experiments import Play
+from rig.experiments import ExperimentResult
 
-SHOWN = (
+FIGURE_NAMES = (
     "before",
     "away",
     "service_in_storm",
@@ -38,41 +38,46 @@
 
 
 def versions() -> dict[str, str]:
+    """Returns the versions and the machine type for result.json."""
     return {"myrtlecrank": __version__, "python": platform.python_version(), "machine": platform.machine()}
 
 
-def _figure(value: float | None) -> str:
+def _format_figure(value: float | None) -> str:
     return "never" if value is None else f"{value:g}"
 
 
-def table(plays: Sequence[tuple[str, Play]]) -> str:
-    """A row a play, and the mean and the worst of each side."""
-    keys = [key for key in SHOWN if any(key in p.figures for _, p in plays)]
+def table(results: Sequence[tuple[str, ExperimentResult]]) -> str:
+    """Returns a Markdown table with a row per run and the means of each side."""
+    keys = [key for key in FIGURE_NAMES if any(key in result.figures for _, result in results)]
     rows = [f"| side | seed | {' | '.join(keys)} | breaks |", f"| --- | --- |{' --- |' * (len(keys) + 1)}"]
-    for side, p in plays:
-        cells = [_figure(p.figures[key]) if key in p.figures else "" for key in keys]
-        rows.append(f"| {side} | {p.seed} | {' | '.join(cells)} | {sum(p.rules.values())} |")
-    for side in dict.fromkeys(side for side, _ in plays):
-        mine = [p for which, p in plays if which == side]
+    for side, result in results:
+        cells = [_format_figure(result.figures[key]) if key in result.figures else "" for key in keys]
+        rows.append(f"| {side} | {result.seed} | {' | '.join(cells)} | {sum(result.rules.values())} |")
+    for side in dict.fromkeys(side for side, _ in results):
+        side_results = [result for which, result in results if which == side]
         cells = []
         for key in keys:
-            values = [p.figures[key] for p in mine if key in p.figures]
+            values = [result.figures[key] for result in side_results if key in result.figures]
             known = [value for value in values if value is not None]
             mean = f"{sum(known) / len(known):.3g}" if known else ""
             never = len(values) - len(known)
             cells.append(f"{mean} ({never} never)" if never else mean)
-        rows.append(f"| {side} | mean | {' | '.join(cells)} | {sum(sum(p.rules.values()) for p in mine)} |")
+        violations = sum(sum(result.rules.values()) for result in side_results)
+        rows.append(f"| {side} | mean | {' | '.join(cells)} | {violations} |")
     return "\n".join(rows) + "\n"
 
 
-def summary(plays: Sequence[tuple[str, Play]]) -> dict[str, dict[str, Any]]:
-    """Of each side and figure: the mean, the least, the most, and how many plays never came to one."""
+def summary(results: Sequence[tuple[str, ExperimentResult]]) -> dict[str, dict[str, Any]]:
+    """Returns by side and figure the mean, least and most value, and the number of runs without one."""
     found: dict[str, dict[str, Any]] = {}
-    for side in dict.fromkeys(side for side, _ in plays):
-        mine = [p for which, p in plays if which == side]
-        rows: dict[str, Any] = {"plays": len(mine), "breaks": sum(sum(p.rules.values()) for p in mine)}
-        for key in SHOWN:
-            values = [p.figures[key] for p in mine if key in p.figures]
+    for side in dict.fromkeys(side for side, _ in results):
+        side_results = [result for which, result in results if which == side]
+        rows: dict[str, Any] = {
+            "plays": len(side_results),
+            "breaks": sum(sum(result.rules.values()) for result in side_results),
+        }
+        for key in FIGURE_NAMES:
+            values = [result.figures[key] for result in side_results if key in result.figures]
             known = [value for value in values if value is not None]
             if values:
                 rows[key] = {
@@ -85,33 +90,34 @@
     return found
 
 
-def keep(plays: Sequence[tuple[str, Play]], folder: Path, title: str) -> None:
-    from rig import charts  # heavy: only where something is kept
+def save(results: Sequence[tuple[str, ExperimentResult]], folder: Path, title: str) -> None:
+    """Writes the results, their table and their chart into a folder."""
+    from rig import charts  # imports matplotlib, which takes long
 
     folder.mkdir(parents=True, exist_ok=True)
-    rows = [{"side": side, **asdict(p)} for side, p in plays]
+    rows = [{"side": side, **asdict(result)} for side, result in results]
     parameters = rows[0]["parameters"]
     for row in rows:
-        del row["parameters"]  # the same for all, but for what the one side is without
+        del row["parameters"]  # the same for all runs, except for the subsystem that one side runs without
         for name, series in row["series"].items():
             row["series"][name] = [round(value, 2) for value in series]
     kept = {
         "title": title,
         "versions": versions(),
-        "summary": summary(plays),
+        "summary": summary(results),
         "parameters": parameters,
         "plays": rows,
     }
     (folder / "result.json").write_text(json.dumps(kept, separators=(",", ":")) + "\n")
-    (folder / "table.md").write_text(f"# {title}\n\n{table(plays)}")
-    charts.storm([(row["side"], row) for row in rows], parameters, title, folder / "chart.png")
+    (folder / "table.md").write_text(f"# {title}\n\n{table(results)}")
+    charts.draw_storm([(row["side"], row) for row in rows], parameters, title, folder / "chart.png")
 
 
-def again(folder: Path) -> Path:
-    """The chart once more from what was kept."""
+def redraw_chart(folder: Path) -> Path:
+    """Draws the chart again from result.json and returns its path."""
     from rig import charts
 
     kept = json.loads((folder / "result.json").read_text())
-    plays = [(row["side"], row) for row in kept["plays"]]
-    charts.storm(plays, kept["parameters"], kept["title"], folder / "chart.png")
+    results = [(row["side"], row) for row in kept["plays"]]
+    charts.draw_storm(results, kept["parameters"], kept["title"], folder / "chart.png")
     return folder / "chart.png"
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,13 +18,13 @@
 from rig.processes.ownership_experiment import OwnershipRun
 
 
-def started(play: OwnershipRun) -> Iterator[OwnershipRun]:
+def started(run: OwnershipRun) -> Iterator[OwnershipRun]:
     """Yields the processes once each duty is owned and each voter votes."""
     try:
-        play.start()
-        yield play
+        run.start()
+        yield run
     finally:
-        play.stop()
+        run.stop()
 
 
 @pytest.fixture
@@ -39,21 +39,21 @@
     yield from started(OwnershipRun(2, 4, 3, 2, True, tmp_path))
 
 
-def steps_taken(play: OwnershipRun) -> int:
-    return sum(play.stand_ins.resource.last.values())
+def steps_taken(run: OwnershipRun) -> int:
+    return sum(run.stand_ins.resource.last_step.values())
 
 
-def wait_for_steps(play: OwnershipRun, more: int = 10) -> None:
+def wait_for_steps(run: OwnershipRun, more: int = 10) -> None:
     """Waits until every duty has advanced by this many steps."""
-    last = dict(play.stand_ins.resource.last)
-    play.wait(lambda: all(play.stand_ins.resource.last[duty] >= last[duty] + more for duty in play.duties))
+    last = dict(run.stand_ins.resource.last_step)
+    run.wait(lambda: all(run.stand_ins.resource.last_step[duty] >= last[duty] + more for duty in run.duties))
 
 
-def assert_safety(play: OwnershipRun) -> None:
+def assert_safety(run: OwnershipRun) -> None:
     """The safety properties, as the resource observed them."""
-    resource = play.stand_ins.resource
+    resource = run.stand_ins.resource
     assert resource.owners_at_once() == 1
-    assert (resource.late_taken, resource.steps_lost(), resource.steps_twice) == (0, 0, 0)
+    assert (resource.late_applied, resource.steps_lost(), resource.steps_twice) == (0, 0, 0)
 
 
 def test_an_owner_that_is_stopped_past_its_lease_is_safe_when_it_continues(fleet: OwnershipRun) -> None:
@@ -79,13 +79,13 @@
 def test_after_a_restart_of_all_members_duties_continue_behind_the_last_step(
     fleet: OwnershipRun,
 ) -> None:
-    before = dict(fleet.stand_ins.resource.last)
+    before = dict(fleet.stand_ins.resource.last_step)
     for backend in fleet.backends.values():
         backend.kill()
     for backend in fleet.backends.values():
         backend.start()
     wait_for_steps(fleet)
-    assert all(fleet.stand_ins.resource.last[duty] > before[duty] for duty in fleet.duties)
+    assert all(fleet.stand_ins.resource.last_step[duty] > before[duty] for duty in fleet.duties)
     assert_safety(fleet)
 
 
@@ -118,7 +118,7 @@
     old = fleet.owner("duty-0")
     fleet.backends[old].signal(signal.SIGTERM)
     fleet.wait(lambda: fleet.owner("duty-0") != old)
-    taken = [t for t in fleet.stand_ins.resource.taken if t.duty == "duty-0"]
+    taken = [t for t in fleet.stand_ins.resource.applied if t.duty == "duty-0"]
     gap = next(b.at - a.at for a, b in pairwise(taken) if a.owner != b.owner and a.owner.startswith(old))
     assert gap < 800.0, "under the lease of 1000 ms"
     assert_safety(fleet)
@@ -143,12 +143,12 @@
     (four.folder / "voter-n2.state").unlink()
     refused = four.run_fleet_command("replace-voters", "--add", "n3", "--at", "n0")
     assert refused.returncode == 1 and "an odd number is wanted" in refused.stderr
-    before = len(four.stand_ins.resource.taken)
+    before = len(four.stand_ins.resource.applied)
     done = four.run_fleet_command("replace-voters", "--drop", "n2", "--add", "n3", "--at", "n0")
     assert done.returncode == 0, done.stderr
     rows = json.loads(four.run_fleet_command("voters", "--json", "--at", "n1").stdout)
     assert [row["voter"] for row in rows] == ["n0", "n1", "n3"]
-    assert len(four.stand_ins.resource.taken) > before, "steps continued during the change"
+    assert len(four.stand_ins.resource.applied) > before, "steps continued during the change"
     wait_for_steps(four)
     four.backends["n1"].kill()
     wait_for_steps(four, 20)
@@ -223,8 +223,8 @@
     return True
 
 
-def rss_kb(play: OwnershipRun, name: str) -> int:
-    process = play.backends[name].process
+def rss_kb(run: OwnershipRun, name: str) -> int:
+    process = run.backends[name].process
     assert process is not None
     return int(Path(f"/proc/{process.pid}/statm").read_text().split()[1]) * 4
 
@@ -331,27 +331,27 @@
 def test_an_owner_stopped_together_with_its_wall_clock_offers_nothing_late(tmp_path: Path, bug: bool) -> None:
     """With leases on the wall clock, which is an injected fault, it continues as if no time had passed: the
     resource detects that, and only its fence refuses the steps."""
-    play = OwnershipRun(3, 3, 3, 1, True, tmp_path)
-    for backend in play.backends.values():
+    run = OwnershipRun(3, 3, 3, 1, True, tmp_path)
+    for backend in run.backends.values():
         backend.uses_wall_clock_leases = bug
     try:
-        play.start()
+        run.start()
         for _ in range(3):  # an owner that is stopped during a step does not show the fault
-            old = play.owner("duty-0")
-            stopped_at = play.stand_ins.now()
-            play.backends[old].signal(signal.SIGSTOP)
-            play.wait(lambda old=old: play.owner("duty-0") != old)
-            wait_for_steps(play, 5)
-            file = play.backends[old].wall_clock_file
+            old = run.owner("duty-0")
+            stopped_at = run.stand_ins.now()
+            run.backends[old].signal(signal.SIGSTOP)
+            run.wait(lambda old=old: run.owner("duty-0") != old)
+            wait_for_steps(run, 5)
+            file = run.backends[old].wall_clock_file
             offset_s = float(file.read_text() if file.exists() else 0.0)
-            offset_s -= (play.stand_ins.now() - stopped_at) / 1000.0
+            offset_s -= (run.stand_ins.now() - stopped_at) / 1000.0
             file.write_text(str(offset_s))
-            play.backends[old].signal(signal.SIGCONT)
-            wait_for_steps(play, 5)
-        assert (play.stand_ins.resource.late_offered > 0) is bug
-        assert_safety(play)
+            run.backends[old].signal(signal.SIGCONT)
+            wait_for_steps(run, 5)
+        assert (run.stand_ins.resource.late_offered > 0) is bug
+        assert_safety(run)
     finally:
-        play.stop()
+        run.stop()
 
 
 # -- members that restart, or lose connections, during another fault
@@ -388,10 +388,10 @@
     assert_safety(four)
 
 
-def owner_changes(play: OwnershipRun) -> int:
-    taken = play.stand_ins.resource.taken
+def owner_changes(run: OwnershipRun) -> int:
+    taken = run.stand_ins.resource.applied
     return sum(
-        a.owner != b.owner for duty in play.duties for a, b in pairwise([t for t in taken if t.duty == duty])
+        a.owner != b.owner for duty in run.duties for a, b in pairwise([t for t in taken if t.duty == duty])
     )
 
 
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -36,8 +36,8 @@
 from myrtlecrank.fleet.register.sqlite import SqliteRegister
 from myrtlecrank.fleet.register.voter_set import founding_voter_set
 from rig.multi_node import register_history
-from rig.multi_node.checkers import Op, linearizable
-from rig.multi_node.register_model_check import Walk
+from rig.multi_node.checkers import Operation, linearizable
+from rig.multi_node.register_model_check import ModelCheck
 
 NAMES = ("a", "b", "c")
 VOTER_SET = founding_voter_set(NAMES)
@@ -61,14 +61,14 @@
 class LocalRegister:
     """A register of three voters in this process, some of them unreachable (`away`)."""
 
-    def __init__(self, folder: Path, ident: str, voters: dict[str, Voter] | None = None) -> None:
+    def __init__(self, folder: Path, proposer_id: str, voters: dict[str, Voter] | None = None) -> None:
         self.disks = {name: disks.VoterFile(str(folder), "f", name) for name in NAMES}
         if voters is None:
             for disk in self.disks.values():
                 disk.create(NAMES)
             voters = {n: Voter(n, NAMES, self.disks[n].load(), self.disks[n].save, "f") for n in NAMES}
         self.voters, self.away = voters, set[str]()
-        self.proposer = Proposer(ident, VOTER_SET, lambda: 0.5, max_attempts=3)
+        self.proposer = Proposer(proposer_id, VOTER_SET, lambda: 0.5, max_attempts=3)
 
     def _run(self, call: Any) -> Outcome:
         votes = None
@@ -424,13 +424,15 @@
 
 
 def test_the_checker_refuses_histories_that_are_not_linearizable() -> None:
-    write = Op(0, 1, "change", wrote="x")
-    assert linearizable([write, Op(2, 3, "read", saw="x")])
-    assert not linearizable([write, Op(2, 3, "read", saw="")]), "a stale read"
-    assert not linearizable([write, Op(2, 3, "change", over="", wrote="y")]), "two changes over one record"
-    assert linearizable([Op(0, float("inf"), "maybe", wrote="x"), Op(2, 3, "read", saw="")])
-    seen_then_not = [Op(2, 3, "read", saw="x"), Op(4, 5, "read", saw="")]
-    assert not linearizable([Op(0, float("inf"), "maybe", wrote="x"), *seen_then_not])
+    write = Operation(0, 1, "change", written="x")
+    assert linearizable([write, Operation(2, 3, "read", read="x")])
+    assert not linearizable([write, Operation(2, 3, "read", read="")]), "a stale read"
+    assert not linearizable([write, Operation(2, 3, "change", base="", written="y")]), (
+        "two changes over one record"
+    )
+    assert linearizable([Operation(0, float("inf"), "maybe", written="x"), Operation(2, 3, "read", read="")])
+    seen_then_not = [Operation(2, 3, "read", read="x"), Operation(4, 5, "read", read="")]
+    assert not linearizable([Operation(0, float("inf"), "maybe", written="x"), *seen_then_not])
 
 
 @pytest.mark.parametrize("trusted", [False, True])
@@ -459,13 +461,13 @@
 
 def test_no_order_of_events_lets_two_proposers_change_one_record() -> None:
     """Eight events are the fewest by which both could succeed: two rounds of two votes for each."""
-    model_check = Walk(8, tries=1).run()
-    assert not model_check.wrong and model_check.states > 50_000
-    assert (Result.DONE, Result.CONFLICT) in model_check.ends and (
+    model_check = ModelCheck(8, tries=1).run()
+    assert not model_check.violations and model_check.state_count > 50_000
+    assert (Result.DONE, Result.CONFLICT) in model_check.results and (
         Result.UNKNOWN,
         Result.DONE,
-    ) in model_check.ends
+    ) in model_check.results
 
 
 def test_the_model_check_finds_a_voter_that_breaks_its_promise() -> None:
-    assert Walk(8, tries=1, broken=True).run().wrong
+    assert ModelCheck(8, tries=1, broken=True).run().violations
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -164,8 +164,8 @@
 def test_a_retry_storm_is_logged_when_it_begins_each_minute_and_when_it_ends() -> None:
     report, lines = StormLog(), list[str]()
     for now in range(0, 200_000, 100):
-        tide = StormStatus(0.5, 10_000 <= now < 150_000, 3)
-        lines += report.lines(tide, 1.25, float(now))
+        status = StormStatus(0.5, 10_000 <= now < 150_000, 3)
+        lines += report.lines(status, 1.25, float(now))
     assert [line.split(":")[0] for line in lines[:3]] == [
         "a storm of repeats begins",
         "the storm of repeats goes on for 60 s",
