--- a/benchmarks/register_flush.py
+++ b/benchmarks/register_flush.py
@@ -12,7 +12,7 @@
 from hdrh.histogram import HdrHistogram
 
 from myrtlecrank.fleet.register.caspaxos import Voter
-from myrtlecrank.fleet.register.disk import Disk
+from myrtlecrank.fleet.register.disk import VoterFile
 from myrtlecrank.fleet.register.messages import Accept, Ballot, Record
 
 ROUNDS = 300
@@ -23,8 +23,8 @@
 
 def measured(folder: str, flush: bool, group_size: int) -> tuple[float, float, float]:
     """Returns votes per second, and the median and 99th percentile of a flush in ms."""
-    disk = Disk(folder, "bench", f"v{flush}{group_size}")
-    disk.found(["o", "p", "v"])
+    disk = VoterFile(folder, "bench", f"v{flush}{group_size}")
+    disk.create(["o", "p", "v"])
     voter = Voter("v", ["o", "p"], disk.load(), disk.save if flush else lambda _: True)
     times = HdrHistogram(1, 60_000_000, 3)
     began = time.perf_counter()
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -135,7 +135,7 @@
                 seed,
                 seconds=25.0 if quick else 60.0,
                 fence=bug != "fence",
-                wall_leases=bug == "wall-time",
+                uses_wall_clock_leases=bug == "wall-time",
                 keep=None if out is None else out / "logs",
             )
     except (OSError, gevent.Timeout) as error:
--- a/rig/backend.py
+++ b/rig/backend.py
@@ -11,21 +11,21 @@
 
 from myrtlecrank.core.actor import Core
 from myrtlecrank.core.messages import (
+    AgentCommand,
+    AgentConnected,
     Answer,
-    Arrived,
-    Command,
-    Event,
-    Freeze,
-    Greeted,
-    Launch,
-    Leave,
+    CancelRun,
+    CoreEvent,
+    DrainRequested,
+    ExchangeArrived,
+    ExchangeRequest,
+    GaugesSampled,
     RunEnded,
-    Sample,
-    Sampled,
-    Ticket,
+    SampleGauges,
+    StartRun,
 )
 from myrtlecrank.policy import interface
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from rig.backend_stand_in import BackendStandIn
 from rig.callers import Try, outcome_of_verdict
 from rig.machine import MachineSpec, Scheduler
@@ -43,35 +43,35 @@
         self,
         number: int,
         clock: Scheduler,
-        facts: interface.StartFacts,
+        settings: interface.ControllerSettings,
         build: MachineSpec,
         rules: Rules,
         cold: bool,
         stop_ms: float,
         report_membership: Callable[[int, bool], None],
-        bounds: Bounds | None,
+        options: RetryOptions | None,
         with_core: Callable[[Core], None] = lambda _: None,
         on_read: Callable[[Try], None] = lambda _: None,
     ) -> None:
         super().__init__(number, clock, build, rules, cold, stop_ms, report_membership, on_read)
-        self.messages: list[Event] = []
+        self.messages: list[CoreEvent] = []
         self.batch_is_scheduled = False
         self.timer_at = float("inf")
-        start_facts = replace(facts, cold=cold)
+        start_settings = replace(settings, cold=cold)
         self.core = Core(
-            start_facts,
+            start_settings,
             stop_ms,
             self._command,
             lambda on: report_membership(number, on),
             now=clock.now,
-            repeats=bounds,
+            retry_options=options,
         )
         with_core(self.core)
-        self._post(Greeted(cold, clock.now - self.machine.started_at))
+        self._post(AgentConnected(cold, clock.now - self.machine.started_at))
 
     # The core's actor on the clock
 
-    def _post(self, message: Event) -> None:
+    def _post(self, message: CoreEvent) -> None:
         self.messages.append(message)
         if not self.batch_is_scheduled:
             self.batch_is_scheduled = True
@@ -90,7 +90,7 @@
         if (
             self.drain_requested_at is not None
             and not self.core.unanswered
-            and self.core.board.shut
+            and self.core.published.stopped_accepting
             and not self.unread
         ):
             self.clock.call_later(self.DRAIN_POLL_MS, self.stop)  # answers in transit are delivered first
@@ -104,44 +104,47 @@
     # Callers and the agent
 
     def accepts_connections(self) -> bool:
-        return self.drain_requested_at is None or not self.core.board.shut
+        return self.drain_requested_at is None or not self.core.published.stopped_accepting
 
     def submit(self, one: Try) -> None:
         self.mark_read(one)
         request = one.request
-        ticket = Ticket(
-            ident=one.exchange_id,
+        exchange_request = ExchangeRequest(
+            exchange_id=one.exchange_id,
             group=request.group,
             tenant=request.tenant,
-            reached=one.arrived_at,
-            wait=request.deadline - request.created_at if one.caller.behaviour.told_whole else one.timeout,
+            arrived_at=one.arrived_at,
+            caller_timeout=request.deadline - request.created_at
+            if one.caller.behaviour.told_whole
+            else one.timeout,
             kb=request.memory_kb,
             rank=request.rank,
             caller=one.caller.number,
-            about="",
+            result_key="",
             body=request.body,
-            answer=self._answer,
-            place=one,
+            send_answer=self._answer,
+            reply_context=one,
         )
-        self._post(Arrived(ticket))
+        self._post(ExchangeArrived(exchange_request))
 
     def _answer(self, answer: Answer) -> None:
-        one: Try = answer.ticket.place
-        outcome, value = outcome_of_verdict(answer.verdict), self.core.board.value
+        one: Try = answer.request.reply_context
+        outcome, value = outcome_of_verdict(answer.verdict), self.core.published.published_value
         self.clock.call_later(
-            self.NETWORK_DELAY_MS, lambda: self.deliver_answer(one, outcome, value, answer.wait, answer.last)
+            self.NETWORK_DELAY_MS,
+            lambda: self.deliver_answer(one, outcome, value, answer.retry_after, answer.no_other_backend),
         )
 
-    def _command(self, command: Command) -> None:
+    def _command(self, command: AgentCommand) -> None:
         match command:
-            case Launch(ident, _, _):
-                self.clock.call_later(self.NETWORK_DELAY_MS, lambda: self.start_run(ident))
-            case Freeze(ident):
-                self.clock.call_later(self.NETWORK_DELAY_MS, lambda: self.cancel_run(ident))
-            case Sample(tag):
+            case StartRun(exchange_id, _, _):
+                self.clock.call_later(self.NETWORK_DELAY_MS, lambda: self.start_run(exchange_id))
+            case CancelRun(exchange_id):
+                self.clock.call_later(self.NETWORK_DELAY_MS, lambda: self.cancel_run(exchange_id))
+            case SampleGauges(tag):
                 self.clock.call_later(
                     self.NETWORK_DELAY_MS,
-                    lambda: self._post(Sampled(tag, interface.Gauges(**self.machine.gauges()))),
+                    lambda: self._post(GaugesSampled(tag, interface.Gauges(**self.machine.gauges()))),
                 )
 
     def report_run_end(self, exchange_id: str, end: str, duration_ms: float) -> None:
@@ -150,5 +153,5 @@
     def request_drain(self) -> None:
         if self.alive and self.drain_requested_at is None:
             self.drain_requested_at = self.clock.now
-            self._post(Leave(self.drain_requested_at))
+            self._post(DrainRequested(self.drain_requested_at))
             self.clock.call_later(self.stop_ms, self.stop)
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from myrtlecrank.core.actor import Core
-from myrtlecrank.edge.accept_rate import Accepting
+from myrtlecrank.edge.accept_rate import AcceptRateOptions
 from myrtlecrank.policy import interface
-from myrtlecrank.retries.options import Bounds
+from myrtlecrank.retries.options import RetryOptions
 from rig.backend import Backend
 from rig.backend_stand_in import BackendStandIn
 from rig.callers import Caller, CallerBehaviour, Request, Try
@@ -22,8 +22,8 @@
 BUILD = MachineSpec()
 COMPLIANT = CallerBehaviour()
 NONCOMPLIANT = CallerBehaviour(deaf=True)
-RETRY_OPTIONS = Bounds()
-ACCEPTING = Accepting()
+RETRY_OPTIONS = RetryOptions()
+ACCEPTING = AcceptRateOptions()
 
 SAMPLING_INTERVAL_MS = 100.0
 LIST_CACHE_MS = 50.0  # a caller's view of the list is computed at most this often
@@ -78,8 +78,8 @@
     habits: CallerBehaviour = COMPLIANT
     deaf_habits: CallerBehaviour = NONCOMPLIANT
     replace_in_ms: float = 500.0
-    repeats: Bounds | None = RETRY_OPTIONS  # None: the program without its retry estimator
-    accepting: Accepting | None = ACCEPTING  # None: connections are accepted without a rate limit
+    repeats: RetryOptions | None = RETRY_OPTIONS  # None: the program without its retry estimator
+    accepting: AcceptRateOptions | None = ACCEPTING  # None: connections are accepted without a rate limit
     crowd: int = 0  # connections opened at once to a restarted backend; real processes only
 
     @property
@@ -99,18 +99,24 @@
         work = sum(group.share * group.work for group in self.groups)
         return self.load * self.backends * self.build.cores * self.build.speed * 1000.0 / work
 
-    def facts(self, seed: int) -> interface.StartFacts:
+    def controller_settings(self, seed: int) -> interface.ControllerSettings:
         """Returns the settings with which a backend of this fleet starts."""
         groups = [
             interface.EndpointGroup(
-                g.name, interface.Kind.REPEATABLE, self.slo, self.timeout, g.benefit, g.late_benefit, 0.0
+                g.name,
+                interface.EffectKind.REPEATABLE,
+                self.slo,
+                self.timeout,
+                g.benefit,
+                g.late_benefit,
+                0.0,
             )
             for g in self.groups
         ]
         each = self.per_second() * 1.2 / max(1, self.tenants)
         tenants = [interface.Tenant(f"tenant-{i}", 1.0 / self.tenants, each) for i in range(self.tenants)]
         b = self.build
-        return interface.StartFacts(
+        return interface.ControllerSettings(
             seed=seed,
             groups=groups,
             cores=b.cores,
@@ -133,7 +139,7 @@
             published_value_kind=interface.PublishedValueKind.CREDIT,
             published_value_lifetime=1000.0,
             max_retry_after=1000.0,
-            idle=30_000.0,
+            idle_timeout=30_000.0,
         )
 
 
@@ -233,7 +239,7 @@
         return Backend(
             number,
             self.clock,
-            self.scene.facts(self.seed * 1000 + self.start_count),
+            self.scene.controller_settings(self.seed * 1000 + self.start_count),
             self.scene.build,
             self.rules,
             cold,
--- a/rig/ground_truth.py
+++ b/rig/ground_truth.py
@@ -64,24 +64,26 @@
         """Compares the estimates with the true shares."""
         for backend in self._backends():
             share = self.shares.setdefault(backend.number, RetryShare())
-            repeats = backend.core.repeats
-            if not backend.alive or repeats is None:
+            estimator = backend.core.retry_estimator
+            if not backend.alive or estimator is None:
                 share.storm_since = None
                 continue
             self.samples += 1
             if share.arrivals >= LEAST_ARRIVALS:
                 true_share = share.retries / share.arrivals
                 if (
-                    repeats.recent_arrivals >= LEAST_ARRIVALS
-                    and repeats.total_arrivals >= repeats.options.least_arrivals
+                    estimator.recent_arrivals >= LEAST_ARRIVALS
+                    and estimator.total_arrivals >= estimator.options.least_arrivals
                 ):
                     weight = share.arrivals
                     self.weighted_error += weight * abs(
-                        repeats.recent_retries / repeats.recent_arrivals - true_share
+                        estimator.recent_retries / estimator.recent_arrivals - true_share
                     )
                     self.weight += weight
-                self._check_onset(share, true_share, repeats.storm, now)
-                self.false_alarm_ms += SAMPLING_INTERVAL_MS * (repeats.storm and true_share < NO_STORM_SHARE)
+                self._check_onset(share, true_share, estimator.storm, now)
+                self.false_alarm_ms += SAMPLING_INTERVAL_MS * (
+                    estimator.storm and true_share < NO_STORM_SHARE
+                )
             share.fade()
         if now >= self.fleet.scene.kill_at + SETTLING_MS:
             self._check_noncompliant(now)
@@ -99,13 +101,13 @@
         """Counts the callers that ignore backpressure and are known to, and those wrongly taken for such."""
         noncompliant = {c.number for c in self.fleet.callers if c.behaviour.deaf}
         for backend in self._backends():
-            repeats = backend.core.repeats
-            if not backend.alive or repeats is None or not repeats.storm:
+            estimator = backend.core.retry_estimator
+            if not backend.alive or estimator is None or not estimator.storm:
                 continue
             known = {
                 number
-                for number, record in repeats.compliance.callers.items()
-                if repeats.compliance.is_noncompliant(record)
+                for number, record in estimator.compliance.callers.items()
+                if estimator.compliance.is_noncompliant(record)
             }
             self.noncompliant_found += len(known & noncompliant)
             self.noncompliant_total += len(noncompliant)
--- a/rig/multi_node/member.py
+++ b/rig/multi_node/member.py
@@ -10,11 +10,11 @@
 from myrtlecrank.fleet.member import FleetConfig, FleetMember
 from myrtlecrank.fleet.membership.messages import MemberUpdate, State
 from myrtlecrank.fleet.messages import Message
-from myrtlecrank.fleet.register.calls import Letter, replies
+from myrtlecrank.fleet.register.calls import VoterMessage, answer_messages
 from myrtlecrank.fleet.register.caspaxos import Voter
 from myrtlecrank.fleet.register.disk import decode, encode
-from myrtlecrank.fleet.register.messages import Known, Memory, Seated
-from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set
+from myrtlecrank.fleet.register.messages import Memory, RejoinAnswer, VoterSetNotice
+from myrtlecrank.fleet.register.voter_set import VoterSet, founding_voter_set
 from myrtlecrank.fleet.step_scheduler import Effect
 from rig.multi_node.environment import Host, SimulatedEnvironment
 
@@ -44,9 +44,9 @@
         self.pending_image = None
 
 
-def newest_voter_set(voters: Iterable[Voter]) -> Roster:
+def newest_voter_set(voters: Iterable[Voter]) -> VoterSet:
     """Returns the newest voter set that any of these voters uses."""
-    return max((voter.memory.roster for voter in voters), key=lambda roster: roster.number)
+    return max((voter.memory.voter_set for voter in voters), key=lambda voter_set: voter_set.number)
 
 
 class VoterHost:
@@ -73,7 +73,7 @@
             memory_is_trusted=disk_is_trusted,
             instance_id=instance_id,
         )
-        self.pending_requests: list[tuple[str, Letter]] = []
+        self.pending_requests: list[tuple[str, VoterMessage]] = []
         self.is_flushing = False
         self._request_rejoin()
 
@@ -86,13 +86,13 @@
     def _request_rejoin(self) -> None:
         """Asks the other voters for their state, and repeats: the member may become a voter at any later
         time."""
-        request = self.voter.rejoin()
+        request = self.voter.rejoin_request()
         if request is not None:
             for other in sorted(self.voter.others):
                 self.send(other, request)
         self.host.run_at(self.host.environment.now + REJOIN_INTERVAL_MS, self._request_rejoin)
 
-    def ask(self, sender: str, request: Letter) -> None:
+    def ask(self, sender: str, request: VoterMessage) -> None:
         """Queues a request; answers at once unless a flush is in progress."""
         self.pending_requests.append((sender, request))
         if not self.is_flushing:
@@ -102,8 +102,8 @@
         requests, self.pending_requests = self.pending_requests, []
         # A reported memory is copied: a message must not change after it was sent.
         answers: list[tuple[str, Message]] = [
-            (to, DECODER.decode(ENCODER.encode(message)) if isinstance(message, Known) else message)
-            for to, message in replies(self.voter, requests)
+            (to, DECODER.decode(ENCODER.encode(message)) if isinstance(message, RejoinAnswer) else message)
+            for to, message in answer_messages(self.voter, requests)
         ]
         self.is_flushing = True
         self.host.run_at(self.host.environment.now + self.flush_ms, lambda: self._flushed(answers))
@@ -188,9 +188,9 @@
     def handle(self, sender: str, raw: bytes) -> None:
         """Passes a message to the voter or to the member."""
         message = DECODER.decode(raw)
-        if isinstance(message, Letter) and self.voter_host is not None:
+        if isinstance(message, VoterMessage) and self.voter_host is not None:
             self.voter_host.ask(sender, message)
-            if not isinstance(message, Seated):
+            if not isinstance(message, VoterSetNotice):
                 return
         self.fleet.handle(sender, message, self.host.clock())
         self.tick()
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -10,9 +10,9 @@
 
 from myrtlecrank.fleet.member import FleetConfig
 from myrtlecrank.fleet.membership.swim import MembershipTiming
-from myrtlecrank.fleet.ownership.lease import Terms
-from myrtlecrank.fleet.register.reconfiguration import Reseated
-from myrtlecrank.fleet.register.voter_set import Roster
+from myrtlecrank.fleet.ownership.lease import LeaseTimings
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult
+from myrtlecrank.fleet.register.voter_set import VoterSet
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect
 from rig.multi_node.checkers import MajorityOutages, Resource, max_concurrent_actors
 from rig.multi_node.environment import SimulatedEnvironment
@@ -93,7 +93,7 @@
     schedules = tuple(
         DutySchedule(f"duty-{i}", scenario.step_interval_ms, 400.0, 100.0) for i in range(scenario.duties)
     )
-    lease_terms = Terms.of(scenario.lease_ms, DRIFT, scenario.lease_ms / 4.0)
+    lease_terms = LeaseTimings.derive(scenario.lease_ms, DRIFT, scenario.lease_ms / 4.0)
     return FleetConfig(
         voters, schedules, lease_terms, MEMBERSHIP_TIMING, 250.0, 3000.0, scenario.poll_interval_ms
     )
@@ -119,7 +119,9 @@
             one.peers = {other.name: other for other in self.members}
         self.script: list[tuple[float, str, str, float]] = []
         self.actions: list[tuple[float, str, str]] = []  # time of the decision, duty, owner
-        self.outages = MajorityOutages(self.config.lease_terms.wait + 2.0 * self.config.lease_terms.look)
+        self.outages = MajorityOutages(
+            self.config.lease_timings.takeover_wait_ms + 2.0 * self.config.lease_timings.poll_interval_ms
+        )
         self.seed = seed
         self.voters_changed = 0
         if inject_fault is not None:
@@ -187,18 +189,18 @@
             return a is b or not (cut or (until > now and more > 100.0))
 
         reached = [
-            (v.name, v.voter_host.voter.memory.seat)
+            (v.name, v.voter_host.voter.memory.identity)
             for v in self.members
             if v.voter_host is not None
             and self._is_running(v)
-            and v.voter_host.voter.voting
+            and v.voter_host.voter.is_voting
             and v.disk.full_until <= now
             and through(one, v)
             and through(v, one)
         ]
         return self._is_running(one) and self.roster().has_majority(reached)
 
-    def roster(self) -> Roster:
+    def roster(self) -> VoterSet:
         """Returns the newest voter set that any voter uses."""
         return newest_voter_set(v.voter_host.voter for v in self.members if v.voter_host is not None)
 
@@ -272,7 +274,7 @@
         """Only one voter may lose its state at a time: what two have lost together cannot be recovered, and
         the register correctly stops for good."""
         voters = self.voters()
-        return all(v.host.is_up and v.voter_host is not None and v.voter_host.voter.voting for v in voters)
+        return all(v.host.is_up and v.voter_host is not None and v.voter_host.voter.is_voting for v in voters)
 
     def _lost_disk(self, one: Member, _: list[Member], ms: float) -> None:
         all_vote = self._all_vote()
@@ -299,8 +301,8 @@
             one.fleet.replace_voters([drop.name], [add.name], self.reseated, one.host.clock())
             one.tick()
 
-    def reseated(self, how: Reseated) -> None:
-        self.voters_changed += not how.wrong
+    def reseated(self, how: ReconfigurationResult) -> None:
+        self.voters_changed += not how.error
 
     def _leave(self, one: Member, _: list[Member], ms: float) -> None:
         if one.host.is_up and one.host.paused_until <= self.environment.now:
--- a/rig/multi_node/register_history.py
+++ b/rig/multi_node/register_history.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from myrtlecrank.fleet.messages import Message, Voted
-from myrtlecrank.fleet.register.calls import Calls, Letter
+from myrtlecrank.fleet.messages import Message, VoterReply
+from myrtlecrank.fleet.register.calls import Calls, VoterMessage
 from myrtlecrank.fleet.register.caspaxos import Call, Proposer
 from myrtlecrank.fleet.register.disk import encode
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Memory, Outcome, Record, Result
-from myrtlecrank.fleet.register.reconfiguration import Reseated, reseat
-from myrtlecrank.fleet.register.voter_set import Roster, founding_voter_set, guessed
+from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult, reconfigure
+from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set, founding_voter_set
 from rig.multi_node.checkers import Operation, linearizable
 from rig.multi_node.environment import Host, SimulatedEnvironment
 from rig.multi_node.member import DECODER, ENCODER, Disk, VoterHost, newest_voter_set
@@ -46,7 +46,7 @@
         self.disk.crash(self.play.environment.random.random() < 0.5)
 
     def heard(self, sender: str, message: Any) -> None:
-        if self.voter_host is not None and isinstance(message, Letter):
+        if self.voter_host is not None and isinstance(message, VoterMessage):
             self.voter_host.ask(sender, message)
 
 
@@ -70,7 +70,7 @@
         else:
             writer = f"{self.proposer.proposer_id}:{self.proposer.call_count + 1}"
             operation = Operation(now, float("inf"), "maybe", base=self.last.writer, written=writer)
-            call = self.proposer.change(KEY, self.last, b"x")
+            call = self.proposer.compare_and_set(KEY, self.last, b"x")
         self.history.append(operation)
         return call, operation
 
@@ -86,7 +86,7 @@
                 outcome.record.writer,
                 outcome.record,
             )
-        elif result is Result.AWAY:
+        elif result is Result.UNAVAILABLE:
             self.history.remove(operation)  # no voter was reached: nothing was proposed
 
 
@@ -109,10 +109,10 @@
     def start(self) -> None:
         name = self.name
         self.host.is_up, self.host.incarnation = True, self.host.incarnation + 1
-        self.calls = Calls(30.0, lambda to, asked: self.play.send(name, to, asked))
+        self.calls = Calls(30.0, lambda to, request: self.play.send(name, to, request))
         instance_id, chance = f"{self.name}/{self.host.incarnation}", self.play.environment.random.random
         self.proposer = Proposer(
-            instance_id, guessed(self.play.founders), chance, max_attempts=4, backoff_ms=5.0
+            instance_id, configured_voter_set(self.play.founders), chance, max_attempts=4, backoff_ms=5.0
         )
         last = self.recorder.last if self.recorder is not None else EMPTY_RECORD
         self.recorder = OperationRecorder(self.proposer, self.play.history, chance, last)
@@ -138,14 +138,14 @@
         self.host.run_at(now + self.play.environment.random.uniform(0.0, 25.0), self.next)
 
     def heard(self, sender: str, message: Any) -> None:
-        if isinstance(message, Voted):
-            self.calls.heard(sender, message, self.play.environment.now)
+        if isinstance(message, VoterReply):
+            self.calls.receive_vote(sender, message, self.play.environment.now)
             self.tick()
 
     def tick(self) -> None:
         self.calls.tick(self.play.environment.now)
         if self.calls.pending:
-            self.host.run_at(max(self.calls.due(), self.play.environment.now + 0.5), self.tick)
+            self.host.run_at(max(self.calls.next_due(), self.play.environment.now + 0.5), self.tick)
 
 
 class ReconfiguringClient(Client):
@@ -155,17 +155,17 @@
         play, random = self.play, self.play.environment.random
         if play.operations_left <= 0:
             return
-        now, there = list(self.proposer.roster.names), sorted(play.nodes)
+        now, there = list(self.proposer.voter_set.names), sorted(play.nodes)
         drop, add = [random.choice(now)], [random.choice(there)]
         if random.random() < 0.2:
             drop, add = [], []  # completes an unfinished change, as any member does after a while
         self.number = getattr(self, "number", 0) + 1
         token = f"{self.proposer.proposer_id}:{self.number}"
-        self.calls.start(reseat(self.proposer, drop, add, token), self.ended, play.environment.now)
+        self.calls.start(reconfigure(self.proposer, drop, add, token), self.ended, play.environment.now)
         self.tick()
 
-    def ended(self, how: Reseated, now: float) -> None:
-        self.play.reseated += not how.wrong
+    def ended(self, how: ReconfigurationResult, now: float) -> None:
+        self.play.reseated += not how.error
         self.host.run_at(now + self.play.environment.random.uniform(0.0, 20.0), self.next)
 
 
@@ -251,7 +251,7 @@
                 else:
                     environment.slow_links[link] = (environment.now + ms, 60.0)
         elif node.host.is_up and all(
-            one.host.is_up and one.voter_host is not None and one.voter_host.voter.voting
+            one.host.is_up and one.voter_host is not None and one.voter_host.voter.is_voting
             for one in self.voters()
         ):
             # One state is lost at a time: what two voters have lost together cannot be recovered.
@@ -265,7 +265,7 @@
             environment.schedule(environment.now + ms, lambda: node.start(self.trusted or self.forget))
         environment.schedule(environment.now + random.expovariate(1.0 / 25.0), self.fault)
 
-    def roster(self) -> Roster:
+    def roster(self) -> VoterSet:
         return newest_voter_set(
             one.voter_host.voter for one in self.nodes.values() if one.voter_host is not None
         )
@@ -305,7 +305,7 @@
 
 def stale_read(client: Client) -> None:
     """Injected fault: a read trusts a majority's first answer."""
-    client.proposer.read = client.proposer.glance  # type: ignore[method-assign]
+    client.proposer.read = client.proposer.read_unverified  # type: ignore[method-assign]
 
 
 def ballot_again(client: Client) -> None:
--- a/rig/processes/backend_process.py
+++ b/rig/processes/backend_process.py
@@ -47,8 +47,8 @@
         return host, int(probe.getsockname()[1])
 
 
-def settings(facts: interface.StartFacts) -> dict[str, Any]:
-    """Returns the StartFacts as settings of the configuration file; times in microseconds."""
+def settings_document(settings: interface.ControllerSettings) -> dict[str, Any]:
+    """Returns the controller settings as settings of the configuration file; times in microseconds."""
 
     def us(ms: float) -> int:
         return round(ms * 1000.0)
@@ -62,36 +62,36 @@
             "worth": g.benefit,
             "lateWorth": g.late_benefit,
         }
-        for g in facts.groups
+        for g in settings.groups
     ]
-    tenants = [{"name": t.name, "share": t.share, "allowancePerS": t.per_second} for t in facts.tenants]
+    tenants = [{"name": t.name, "share": t.share, "allowancePerS": t.per_second} for t in settings.tenants]
     return {
         "categories": categories,
         "tenants": tenants,
-        "overShareWorth": facts.over_share_benefit,
-        "replicasOfMe": facts.backends,
-        "granularity": us(facts.clock_granularity),
+        "overShareWorth": settings.over_share_benefit,
+        "replicasOfMe": settings.backends,
+        "granularity": us(settings.clock_granularity),
         "domain": {
-            "cores": facts.cores,
-            "memoryKb": facts.memory_kb,
-            "blowup": facts.running_memory_multiple,
+            "cores": settings.cores,
+            "memoryKb": settings.memory_kb,
+            "blowup": settings.running_memory_multiple,
             "halt": "drop",
             "signal": "tokens",
-            "heeded": us(facts.published_value_lifetime),
-            "idle": us(facts.idle),
+            "heeded": us(settings.published_value_lifetime),
+            "idle": us(settings.idle_timeout),
             "passesDeadline": True,
             "gauges": list(GAUGES),
-            "upstreams": facts.callers,
+            "upstreams": settings.callers,
         },
         "guarantees": {
-            "fallMultiple": facts.survivable_concurrency_per_core,
-            "fall": us(facts.survivable_concurrency_window),
-            "coldFrom": facts.cold_capacity,
-            "warmWithin": us(facts.warm_up_time),
-            "stopSendingWithin": us(facts.drain_grace),
-            "answerSlack": us(facts.answer_slack),
+            "fallMultiple": settings.survivable_concurrency_per_core,
+            "fall": us(settings.survivable_concurrency_window),
+            "coldFrom": settings.cold_capacity,
+            "warmWithin": us(settings.warm_up_time),
+            "stopSendingWithin": us(settings.drain_grace),
+            "answerSlack": us(settings.answer_slack),
         },
-        "bounds": {"retryAfter": True, "maxRetryAfter": us(facts.max_retry_after)},
+        "bounds": {"retryAfter": True, "maxRetryAfter": us(settings.max_retry_after)},
     }
 
 
@@ -179,7 +179,7 @@
         self,
         number: int,
         clock: RealClock,
-        facts: interface.StartFacts,
+        settings: interface.ControllerSettings,
         build: MachineSpec,
         rules: Rules,
         cold: bool,
@@ -192,7 +192,7 @@
         operators: Path,
     ) -> None:
         super().__init__(number, clock, build, rules, cold, stop_ms, report_membership, on_read)
-        self.real_clock, self.listen, self.facts = clock, listen, facts
+        self.real_clock, self.listen, self.settings = clock, listen, settings
         self.connections: dict[int, list[CallerConnection]] = {}
         self.run_notices = [b""]  # outcome lines by number, from 1
         self.agent_connection: socket.socket | None = None
@@ -206,12 +206,12 @@
             "listen": f"{listen[0]}:{listen[1]}",
             "members": members,
             "agent": f"127.0.0.1:{self.agent.getsockname()[1]}",
-            "seed": f"{facts.seed:016x}",
+            "seed": f"{settings.seed:016x}",
             "stop_ms": stop_ms,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": settings(facts),
+            "settings": settings_document(settings),
         }
-        path = folder / f"b{number}-{facts.seed}.json"
+        path = folder / f"b{number}-{settings.seed}.json"
         path.write_text(json.dumps(configuration))
         self.log: IO[bytes] = (folder / f"b{number}.log").open("ab")
         command = [sys.executable, "-m", "myrtlecrank", "serve", str(path), "--operators", str(operators)]
@@ -274,7 +274,7 @@
         request = one.request
         wait = request.deadline - request.created_at if one.caller.behaviour.told_whole else one.timeout
         fields = {
-            "c": self.facts.groups[request.group].name,
+            "c": self.settings.groups[request.group].name,
             "i": one.exchange_id,
             "s": f"{self.real_clock.began_at + one.arrived_at:.0f}",  # type: ignore[operator]
             "f": str(one.caller.number),
--- a/rig/processes/fleet.py
+++ b/rig/processes/fleet.py
@@ -97,7 +97,7 @@
         return BackendProcess(
             number,
             self.real_clock,
-            scene.facts(self.seed * 1000 + self.start_count),
+            scene.controller_settings(self.seed * 1000 + self.start_count),
             scene.build,
             self.rules,
             cold,
--- a/rig/processes/ownership_experiment.py
+++ b/rig/processes/ownership_experiment.py
@@ -152,15 +152,15 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": SETTINGS,
         }
-        self.config, self.operators = folder / f"{name}.json", folder / f"{name}.toml"
+        self.config, self.operators_file = folder / f"{name}.json", folder / f"{name}.toml"
         self.config.write_text(json.dumps(configuration))
-        self.operators.write_text(operators)
-        self.wall = folder / f"{name}.wall"  # offset of its wall clock in seconds
-        self.wall_leases = False  # an injected fault
+        self.operators_file.write_text(operators)
+        self.wall_clock_file = folder / f"{name}.wall"  # offset of its wall clock in seconds
+        self.uses_wall_clock_leases = False  # an injected fault
         self.log = open(folder / f"{name}.log", "ab")  # noqa: SIM115 - open for the whole run
 
     def command(self, *words: str) -> list[str]:
-        return [sys.executable, "-m", "myrtlecrank", *words, "--operators", str(self.operators)]
+        return [sys.executable, "-m", "myrtlecrank", *words, "--operators", str(self.operators_file)]
 
     def found(self) -> None:
         words = self.command("fleet", "found", self.name)
@@ -169,8 +169,8 @@
     def start(self) -> None:
         if self.process is None:
             serve = self.command("serve", str(self.config))
-            bug = ["--wall-leases"] if self.wall_leases else []
-            serve[2:3] = ["rig.processes.stepped_clock", *bug, str(self.wall)]
+            bug = ["--wall-leases"] if self.uses_wall_clock_leases else []
+            serve[2:3] = ["rig.processes.stepped_clock", *bug, str(self.wall_clock_file)]
             self.process = subprocess.Popen(
                 serve, cwd=ROOT, stdout=self.log, stderr=self.log, env={**os.environ, "PYTHONPATH": str(ROOT)}
             )
@@ -179,14 +179,14 @@
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         process, self.process = self.process, None
         if process is not None:
             process.kill()
             process.wait()
 
 
-class RealPlay:
+class OwnershipRun:
     """A fleet of processes under faults.
 
     `trusted`: voters vote at once after a restart, as their folder is durable here; otherwise they ask all
@@ -205,17 +205,19 @@
     ) -> None:
         self.trusts_disk = trusted
         self.seed, self.random, self.folder = seed, Random(seed), folder
-        self.stands = StandIns(fence)
+        self.stand_ins = StandIns(fence)
         names = [f"n{i}" for i in range(members)]
         self.voters = names[:voters]
-        self.homes = homes = {name: free_address(seed % 1000 + 40 + i) for i, name in enumerate(names)}
+        self.member_addresses = addresses = {
+            name: free_address(seed % 1000 + 40 + i) for i, name in enumerate(names)
+        }
         # In each pair the member whose name comes first connects, through the proxy of the pair.
-        self.links = {(a, b): Proxy(homes[b]) for a in names for b in names if a < b}
+        self.links = {(a, b): Proxy(addresses[b]) for a in names for b in names if a < b}
         # Each member's link to the resource.
-        self.sinks = {name: Proxy(self.stands.resource_address) for name in names}
+        self.resource_links = {name: Proxy(self.stand_ins.resource_address) for name in names}
         self.duties = [f"duty-{i}" for i in range(duties)]
         self.backends = {
-            name: Backend(name, folder, self.stands, self._operators(name, names, homes), seed)
+            name: Backend(name, folder, self.stand_ins, self._operators(name, names, addresses), seed)
             for name in names
         }
         self.script: list[tuple[float, str, str, float]] = []
@@ -227,7 +229,7 @@
         self.disk_was_lost = False
         self.unavailability = MajorityOutages(TAKEOVER_MS)
 
-    def _operators(self, me: str, names: list[str], homes: dict[str, tuple[str, int]]) -> str:
+    def _operators(self, me: str, names: list[str], addresses: dict[str, tuple[str, int]]) -> str:
         """Returns the operators' file of a member, with the proxies as its peers' addresses."""
         lines = [
             "[fleet]",
@@ -245,10 +247,10 @@
         ]
         for i, name in enumerate(names):
             link = self.links.get((me, name))
-            at = homes[name] if link is None else link.address
+            at = addresses[name] if link is None else link.address
             lines += [f"[fleet.members.{name}]", f'at = "{at[0]}:{at[1]}"', f'zone = "z{i % 3}"']
         for duty in self.duties:
-            sink = self.sinks[me].address
+            sink = self.resource_links[me].address
             lines += [f"[fleet.duties.{duty}]", f'to = "{sink[0]}:{sink[1]}"', f"every_ms = {STEP_MS:g}"]
         return "\n".join(lines) + "\n"
 
@@ -266,21 +268,21 @@
         others = [name for name in self.backends if name != backend.name]
         side = {backend.name, *self.random.sample(others, len(others) // 2)}
         delay = self.random.uniform(0.05, 1.5) * LEASE_MS / 1000.0
-        self.script.append((round(self.stands.now(), 1), kind, backend.name, round(seconds * 1000.0, 1)))
+        self.script.append((round(self.stand_ins.now(), 1), kind, backend.name, round(seconds * 1000.0, 1)))
         if kind in ("kill", "term", "lost-disk"):
             gevent.spawn(self._take_down, backend, kind, seconds)
         elif kind == "stop":
             gevent.spawn(self._suspend, backend, seconds)
         elif kind == "clock":
-            backend.wall.write_text(str(self.random.choice([-3600, 3600])))
+            backend.wall_clock_file.write_text(str(self.random.choice([-3600, 3600])))
         elif kind == "replace":
             drop = self.random.choice(self.voters)
             add = self.random.choice([drop, *(name for name in self.backends if name not in self.voters)])
             gevent.spawn(self._replace, backend.name, drop, add)
         elif kind == "half":
-            self.apart(side, seconds)
+            self.partition(side, seconds)
         elif kind in ("freeze-in", "freeze-out"):
-            self.deaf(backend.name, seconds, kind == "freeze-out")
+            self.freeze_one_way(backend.name, seconds, kind == "freeze-out")
         for link, _ in self.links_of(backend.name):
             if kind == "cut":
                 link.cut(seconds)
@@ -310,8 +312,8 @@
         new = [name for name in self.voters if name != drop or name == add]
         new += [add] if add not in new else []
         before, self.voter_sets = self.voter_sets, [*self.voter_sets, set(new)]
-        done = self.told("replace-voters", "--drop", drop, "--add", add, "--at", at)
-        asked = self.told("voters", "--json", "--at", at) if done.returncode == 0 else done
+        done = self.run_fleet_command("replace-voters", "--drop", drop, "--add", add, "--at", at)
+        asked = self.run_fleet_command("voters", "--json", "--at", at) if done.returncode == 0 else done
         self.is_replacing = False
         if asked.returncode == 0:
             self.voters = [row["voter"] for row in json.loads(asked.stdout) if row["state"] == "votes"]
@@ -324,7 +326,7 @@
         """Samples from outside whether a running member reaches a majority of voters over links that work."""
         while True:
             self.unavailability.sample(
-                self.stands.now(), any(self._reaches_majorities(name) for name in self.backends)
+                self.stand_ins.now(), any(self._reaches_majorities(name) for name in self.backends)
             )
             gevent.sleep(SAMPLING_INTERVAL_S)
 
@@ -343,13 +345,13 @@
         process = self.backends[name].process
         return process is not None and process.poll() is None and name not in self.suspended
 
-    def apart(self, side: set[str], seconds: float) -> None:
+    def partition(self, side: set[str], seconds: float) -> None:
         """Holds back all bytes between these members and the others; connections are kept."""
         for (a, b), link in self.links.items():
             if (a in side) != (b in side):
                 link.freeze(seconds)
 
-    def deaf(self, name: str, seconds: float, hears: bool) -> None:
+    def freeze_one_way(self, name: str, seconds: float, hears: bool) -> None:
         """Freezes one direction: the member receives from the others but reaches none, or the reverse."""
         for link, connects in self.links_of(name):
             link.freeze(seconds, out=connects == hears, back=connects != hears)
@@ -358,7 +360,7 @@
         if kind == "term":
             backend.signal(signal.SIGTERM)
             gevent.sleep(1.0)
-        backend.end()
+        backend.kill()
         # One disk at a time: what two voters have lost together cannot be recovered.
         alone = all(b.process is not None for b in self.backends.values() if b is not backend)
         if kind == "lost-disk" and backend.name in self.voters and alone and not self.disk_was_lost:
@@ -367,7 +369,7 @@
         gevent.sleep(seconds)
         backend.start()
 
-    def told(self, *words: str, by: str = "n0") -> subprocess.CompletedProcess[str]:
+    def run_fleet_command(self, *words: str, by: str = "n0") -> subprocess.CompletedProcess[str]:
         """Runs `myrtlecrank fleet ...` with one member's file, without blocking the event loop."""
         command = self.backends[by].command("fleet", *words)
         found: Any = gevent.get_hub().threadpool.apply(
@@ -377,7 +379,7 @@
 
     # The run
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Starts all members and waits until each voter votes and each duty has an owner.
 
         Raises gevent.Timeout.
@@ -386,7 +388,7 @@
             self.backends[name].found()
         for backend in self.backends.values():
             backend.start()
-        self.wait(lambda: len(self.stands.resource.last_step) == len(self.duties))
+        self.wait(lambda: len(self.stand_ins.resource.last_step) == len(self.duties))
         if self.trusts_disk:
             return
         # A starting voter asks all others: if one ends before the last has its answer, the last must wait.
@@ -401,22 +403,24 @@
 
     def owner(self, duty: str) -> str:
         """Returns the owner whose step the resource took last."""
-        return next(t.owner for t in reversed(self.stands.resource.applied) if t.duty == duty).split("/")[0]
+        return next(t.owner for t in reversed(self.stand_ins.resource.applied) if t.duty == duty).split("/")[
+            0
+        ]
 
-    def finish(self) -> None:
+    def stop(self) -> None:
         """Kills all processes and closes the links."""
         for backend in self.backends.values():
             backend.signal(signal.SIGCONT)
-            backend.end()
+            backend.kill()
             backend.log.close()
-        for link in [*self.links.values(), *self.sinks.values()]:
+        for link in [*self.links.values(), *self.resource_links.values()]:
             link.close()
 
     def run(self, seconds: float, every: float) -> PlayResult:
         """Runs the experiment and returns its figures."""
-        resource, stand_ins = self.stands.resource, self.stands
+        resource, stand_ins = self.stand_ins.resource, self.stand_ins
         try:
-            self.begin()
+            self.start()
             began = stand_ins.now()
             sampler = gevent.spawn(self.sample_reachability)
             last_fault = began + seconds * 1000.0 - QUIET_END_MS
@@ -428,7 +432,7 @@
                     gevent.sleep(0.2)
             sampler.kill()
         finally:
-            self.finish()
+            self.stop()
         end = stand_ins.now()
         usual_gap_ms = 4.0 * STEP_MS
         gaps = resource.gaps(began, end, self.duties)
@@ -475,7 +479,7 @@
     fence: bool = True,
     keep: Path | None = None,
     trusted: bool = True,
-    wall_leases: bool = False,
+    uses_wall_clock_leases: bool = False,
 ) -> PlayResult:
     """Runs the experiment in real time.
 
@@ -484,7 +488,7 @@
     with tempfile.TemporaryDirectory() as temporary:
         folder = keep or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
-        one = RealPlay(seed, members, voters, duties, fence, folder, trusted)
+        one = OwnershipRun(seed, members, voters, duties, fence, folder, trusted)
         for backend in one.backends.values():
-            backend.wall_leases = wall_leases
+            backend.uses_wall_clock_leases = uses_wall_clock_leases
         return one.run(seconds, every)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,6 +10,7 @@
 from click.testing import CliRunner
 
 from rig.__main__ import main
+from rig.backend import Backend
 from rig.callers import Caller, CallerBehaviour, Request, Try, TryOutcome
 from rig.clock import Clock
 from rig.experiments import run_experiment, scene_of
@@ -164,13 +165,14 @@
 def test_a_second_answer_in_a_fleet_run_is_found() -> None:
     fleet = Fleet(SMALL, seed=1)
     faulty_backend = fleet.backends[0]
+    assert isinstance(faulty_backend, Backend)
     answer = faulty_backend._answer
 
     def twice(outcome: object) -> None:
         answer(outcome)  # type: ignore[arg-type]
         answer(outcome)  # type: ignore[arg-type]
 
-    faulty_backend._answer = twice  # type: ignore[method-assign]
+    faulty_backend._answer = twice  # type: ignore[method-assign, assignment]
     fleet.run()
     assert fleet.rules.violations["twice"] > 0
 
