--- a/myrtlecrank/edge/accept_rate.py
+++ b/myrtlecrank/edge/accept_rate.py
@@ -15,20 +15,22 @@
 SLOWDOWN_FACTOR = 0.7  # after a sampling tick that was late
 SPEEDUP_FACTOR = 1.1  # after one that was not
 MIN_RATE_SHARE = 0.1  # of the configured rate, however late the loop is
-TOKEN_TOLERANCE = 1e-6  # rounding must not make a caller wait again that has waited as long as it was told
+TOKEN_TOLERANCE = 1e-6  # lest rounding delays a connection again that has waited the returned time
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptRateOptions:
     """Options of the section [accepting] of the operators' file."""
 
-    on: bool = scalar_option(True, what="false: connections are accepted as they come")
+    on: bool = scalar_option(True, what="false: connections are accepted without a rate limit")
     per_second: float = scalar_option(
-        2000.0, 10.0, 1_000_000.0, "connections accepted in a second, in the mean"
+        2000.0, 10.0, 1_000_000.0, "connections accepted per second, on average"
+    )
+    cold_per_second: float = scalar_option(500.0, 10.0, 1_000_000.0, "the same for a cold machine")
+    burst: int = scalar_option(64, 1, 100_000, "connections accepted at once after an idle period")
+    late_ms: float = scalar_option(
+        50.0, 1.0, 10_000.0, "lateness of a sampling tick above which the rate falls"
     )
-    cold_per_second: float = scalar_option(500.0, 10.0, 1_000_000.0, "the same while the machine is cold")
-    burst: int = scalar_option(64, 1, 100_000, "connections accepted at once after a quiet time")
-    late_ms: float = scalar_option(50.0, 1.0, 10_000.0, "how late a beat may be before the pace falls")
 
 
 def contradictions(options: AcceptRateOptions) -> list[str]:
@@ -36,7 +38,7 @@
     if options.cold_per_second > options.per_second:
         return [
             f"cold_per_second: is {options.cold_per_second:g}, above per_second {options.per_second:g}: "
-            "a cold machine would be asked for more than a warm one"
+            "a cold machine would accept connections faster than a warm one"
         ]
     return []
 
--- a/myrtlecrank/fleet/options.py
+++ b/myrtlecrank/fleet/options.py
@@ -18,48 +18,62 @@
     """[fleet.members.NAME]: one member of the fleet, by the name in its configuration."""
 
     at: str = text_option("IPv4 address and port where its peers connect", least=1)
-    zone: str = text_option("where it stands; duties are spread over zones")
+    zone: str = text_option("failure zone of the member; duties are spread over zones")
 
 
 @dataclass(frozen=True, slots=True)
 class DutyOptions:
     """[fleet.duties.NAME]: one duty, whose steps one member at a time carries out."""
 
-    to: str = text_option("IPv4 address and port that takes its steps", least=1)
-    every_ms: float = scalar_option(1000.0, 10.0, 3_600_000.0, "from the end of a step to the next")
-    deadline_ms: float = scalar_option(400.0, 10.0, 60_000.0, "how long a step may take")
+    to: str = text_option("IPv4 address and port of the receiver of its steps", least=1)
+    every_ms: float = scalar_option(
+        1000.0, 10.0, 3_600_000.0, "time from the end of a step to the start of the next"
+    )
+    deadline_ms: float = scalar_option(400.0, 10.0, 60_000.0, "maximum duration of a step")
     back_off_ms: float = scalar_option(
-        100.0, 10.0, 60_000.0, "wait after a failed step; doubled up to 16 times"
+        100.0,
+        10.0,
+        60_000.0,
+        "wait after a failed step; doubled with each further failure, up to 16 times this",
     )
-    share: float = scalar_option(1.0, 0.001, 1.0, "the most of the time in which its steps may be under way")
+    share: float = scalar_option(1.0, 0.001, 1.0, "maximum share of time in which its steps may run")
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
     """[fleet]: the options of the fleet as a whole."""
 
-    on: bool = scalar_option(False, what="members know of each other and share duties")
-    name: str = text_option("of the fleet; peers of another are refused", least=1)
-    folder: str = text_option("where a voter keeps its memory; must outlast the process")
-    voters: tuple[str, ...] = text_option("members that keep the register; an odd number", default=())
+    on: bool = scalar_option(False, what="true: the members probe each other and share duties")
+    name: str = text_option("name of the fleet; peers of another fleet are refused", least=1)
+    folder: str = text_option("directory of a voter's memory; must persist across restarts")
+    voters: tuple[str, ...] = text_option("members that store the register; an odd number", default=())
     trust_disk: bool = scalar_option(
-        False, what="a voter that restarts with its file votes at once, without asking all others"
+        False, what="true: a voter that restarts with its file votes at once, without asking all others"
+    )
+    lease_ms: float = scalar_option(
+        2000.0, 200.0, 120_000.0, "an owner that cannot renew its lease stops after this"
     )
-    lease_ms: float = scalar_option(2000.0, 200.0, 120_000.0, "an owner that hears nothing stops after this")
-    drift: float = scalar_option(0.01, 0.0, 0.2, "the most by which any clock runs fast or slow, as a share")
-    reply_ms: float = scalar_option(250.0, 10.0, 10_000.0, "how long a round of the register waits")
-    probe_ms: float = scalar_option(500.0, 20.0, 60_000.0, "from one probe of a member to the next")
-    probe_reply_ms: float = scalar_option(150.0, 5.0, 10_000.0, "until others are asked to probe too")
-    helpers: int = scalar_option(3, 0, 16, "how many are asked")
+    drift: float = scalar_option(0.01, 0.0, 0.2, "maximum clock drift, as a share of elapsed time")
+    reply_ms: float = scalar_option(250.0, 10.0, 10_000.0, "timeout of one round of requests to the voters")
+    probe_ms: float = scalar_option(500.0, 20.0, 60_000.0, "interval between probes, each of one member")
+    probe_reply_ms: float = scalar_option(
+        150.0, 5.0, 10_000.0, "timeout of a probe, after which other members probe too"
+    )
+    helpers: int = scalar_option(3, 0, 16, "how many other members are asked to probe")
     suspect_ms: float = scalar_option(
-        1500.0, 50.0, 600_000.0, "least time in suspicion; six times that unconfirmed"
+        1500.0,
+        50.0,
+        600_000.0,
+        "minimum time from suspect to lost; six times that if no other member confirms",
+    )
+    even_ms: float = scalar_option(
+        3000.0, 100.0, 3_600_000.0, "interval between moves of duties that balance the members"
     )
-    even_ms: float = scalar_option(3000.0, 100.0, 3_600_000.0, "between two moves to even the duties out")
     watch_ms: float = scalar_option(
-        1000.0, 0.0, 60_000.0, "between two views of the fleet by its watcher; 0: none"
+        1000.0, 0.0, 60_000.0, "interval between views of the fleet by its monitor; 0: none"
     )
-    together: int = scalar_option(8, 1, 1024, "steps of duties that one member has under way at a time")
-    queue: int = scalar_option(256, 16, 65_536, "messages that wait for one peer; more are dropped")
+    together: int = scalar_option(8, 1, 1024, "steps of duties that one member runs concurrently")
+    queue: int = scalar_option(256, 16, 65_536, "messages queued for one peer; further ones are dropped")
     members: dict[str, MemberOptions] = table_option(MemberOptions, "every member, by name")  # noqa: RUF009
     duties: dict[str, DutyOptions] = table_option(DutyOptions, "every duty, by name")  # noqa: RUF009
 
@@ -100,7 +114,7 @@
         wrong.append("voters: must be different members, found one twice")
     wrong += [f"voters: {name!r} is no member" for name in options.voters if name not in options.members]
     if options.voters and not options.folder:
-        wrong.append("folder: voters need one that outlasts the process")
+        wrong.append("folder: voters need one that persists across restarts")
     return wrong
 
 
--- a/tests/test_fleet_peer_links.py
+++ b/tests/test_fleet_peer_links.py
@@ -220,7 +220,7 @@
             "[fleet] voters: must be different members, found one twice",
         ),
         (('"guides"', '""'), "[fleet] name: is ''; allowed: a text that is not empty"),
-        (('folder = "/var/lib/x"', ""), "[fleet] folder: voters need one that outlasts the process"),
+        (('folder = "/var/lib/x"', ""), "[fleet] folder: voters need one that persists across restarts"),
         (
             ("127.0.0.1:2", "localhost:2"),
             "[fleet] members.b at: 'localhost:2' is not an IPv4 address with a port",
