--- a/myrtlecrank/cli.py
+++ b/myrtlecrank/cli.py
@@ -25,7 +25,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """An overload controller that lives inside each backend of a fleet."""
+    """An overload controller that runs inside each backend of a fleet."""
 
 
 def _read_configuration(path: str | None) -> Configuration:
--- a/myrtlecrank/core/messages.py
+++ b/myrtlecrank/core/messages.py
@@ -27,7 +27,7 @@
     exchange_id: str  # the exchange's identifier
     group: int  # index of its endpoint group
     tenant: int  # index of its tenant
-    arrived_at: float  # when it came to the machine
+    arrived_at: float  # when it reached the machine
     caller_timeout: float | None  # how long its caller waits from then on; None: unknown
     kb: float  # memory it needs
     rank: float  # as stated by its caller
--- a/myrtlecrank/core/result_cache.py
+++ b/myrtlecrank/core/result_cache.py
@@ -26,7 +26,7 @@
         if entry is None or not request.result_key:
             return None
         if self.is_deduplicated(entry):
-            # The window counts by arrival: a retry may be handled long after it came.
+            # The window counts by arrival: a retry may be handled long after it arrived.
             return entry if min(request.arrived_at, now) <= until else None
         if now > until:
             return None
@@ -65,12 +65,12 @@
         return self.settings.groups[entry.request.group].kind is EffectKind.DEDUPLICATED
 
     def _handling_delay(self, entry: ExchangeEntry) -> float:
-        """How long after the window a retry that came within it may still be handled, in ms."""
+        """How long after the window a retry that arrived within it may still be handled, in ms."""
         return self.settings.groups[entry.request.group].timeout if self.is_deduplicated(entry) else 0.0
 
     def _free_memory(self, key: Key) -> None:
         """Keeps the cache within its bound. A read is removed whole. Of a deduplicated exchange only the
-        result goes: its retries are terminated from then on, but never executed."""
+        result is evicted: its retries are terminated from then on, but never executed."""
         entry, _ = self.entries[key]
         if not self.is_deduplicated(entry):
             self._remove(key)
--- a/myrtlecrank/edge/connection.py
+++ b/myrtlecrank/edge/connection.py
@@ -111,7 +111,7 @@
 
         A caller that shut down its sending side, or that sent bytes which are not a frame, may still listen
         for the answers to earlier exchanges. Only writing shows whether one that shut its side is gone
-        altogether; a GO_AWAY frame tells nothing new to one that is still there.
+        altogether; a GO_AWAY frame is redundant for one that is still connected.
         """
         if read_end is CloseReason.CLOSED_BY_PEER and self.open_streams:
             self.send(codec.encode_go_away())
--- a/myrtlecrank/edge/server.py
+++ b/myrtlecrank/edge/server.py
@@ -69,7 +69,7 @@
         core.on_stop_accepting.append(self.stop_accepting)
 
     def set_accept_rate(self, accept_rate: AcceptRateOptions | None) -> None:
-        """Applies new options of the accept rate; with None connections are accepted as they come."""
+        """Applies new options of the accept rate; with None the accept rate is not limited."""
         self.rate_limiter = None if accept_rate is None else AcceptRateLimiter(accept_rate, now_ms())
 
     def run(self) -> None:
@@ -280,7 +280,7 @@
     def _accept_backlog_in_turns(self) -> None:
         """Accepts the rest of a backlog above the limit of descriptors as earlier connections close."""
         while not self._accept_backlog():
-            gevent.sleep(0)  # new connections are read before any of them may have to make room
+            gevent.sleep(0)  # new connections are read before any of them may have to be closed
             if len(self.connections) >= self.max_connections and not self.make_room():
                 gevent.sleep(NO_DESCRIPTOR_PAUSE_S)
             gevent.sleep(0)  # closed connections keep their descriptors until the event loop has had its turn
--- a/myrtlecrank/fleet/actor.py
+++ b/myrtlecrank/fleet/actor.py
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """This backend has been told to leave."""
+    """The drain of this backend has started."""
 
 
 ActorMessage = PeerMessage | EffectFinished | EligibilityChanged | DrainStarted
--- a/myrtlecrank/fleet/member.py
+++ b/myrtlecrank/fleet/member.py
@@ -140,7 +140,7 @@
         self.membership.set_eligible(eligible and not self.is_leaving)
 
     def leave(self, now: float) -> None:
-        """Starts the drain: hands over all duties and tells the members that this one leaves."""
+        """Starts the drain: hands over all duties and informs the members that this one leaves."""
         if self.is_leaving:
             return
         self.is_leaving = True
@@ -231,9 +231,9 @@
     # -- the voters
 
     def _check_voter_set(self, now: float) -> None:
-        """Announces a newer voter set to the other members, once. That is only a hint, as the voters tell it
-        to whoever asks them. Any member that knows of an incomplete change completes it, at a random
-        delay."""
+        """Announces a newer voter set to the other members, once. That is only a hint, as the voters send it
+        to any member that makes a request under another one. Any member that knows of an incomplete change
+        completes it, at a random delay."""
         voter_set = self.proposer.voter_set
         if voter_set.number > self.announced_voter_set.number:
             was_known = self.announced_voter_set.number >= 0
--- a/myrtlecrank/fleet/membership/swim.py
+++ b/myrtlecrank/fleet/membership/swim.py
@@ -167,7 +167,7 @@
         sends: list[Outgoing] = []
         delay = now - self.probe_due
         if delay > PAUSE_PROBE_INTERVALS * self.timing.probe_interval_ms:
-            # This process was stopped or kept from its event loop: that no message arrived in that time tells
+            # This process was stopped or kept from its event loop: that no message arrived in that time says
             # nothing about the other members.
             self._adjust_health_score(PAUSE_HEALTH_PENALTY)
             for probe in self.probes.values():
@@ -230,7 +230,7 @@
                     (name, PingRequest(probe.seq, probe.target, self._updates_for(name))) for name in helpers
                 ]
         del self.probes[probe.seq]
-        # The fault may be this process's own: one that hears no member suspects others ever more slowly.
+        # The fault may be this process's own: one that receives no replies suspects others ever more slowly.
         self._adjust_health_score(1)
         peer = self.peers.get(probe.target)
         if peer is not None and peer.update.state is State.ALIVE:
@@ -335,7 +335,7 @@
         """The updates to piggyback on a message, the least often sent first.
 
         Each is sent a few times the logarithm of the number of members. A receiver that is suspected or
-        counts as lost is always told so, which allows it to refute."""
+        counts as lost always gets that update, which allows it to refute."""
         max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.peers) + 2))
         chosen: list[MemberUpdate] = []
         if self.local_transmissions < max_transmissions:
--- a/myrtlecrank/fleet/ownership/lease.py
+++ b/myrtlecrank/fleet/ownership/lease.py
@@ -3,7 +3,7 @@
 Leases as published by Gray and Cheriton (1989), with fencing epochs as lock services give them (Burrows,
 2006). Safety rests on two facts: the register changes a record only over the one that was read, and a
 duration measured on one clock is off by the drift bound at the most. Clocks are never compared and records
-hold no times. Free of I/O and clocks; times are ms of the process's own monotonic clock, which must go on
+hold no times. Free of I/O and clocks; times are ms of the process's own monotonic clock, which must advance
 while the process or the machine sleeps."""
 
 from __future__ import annotations
@@ -325,7 +325,7 @@
 
 
 class Fence:
-    """Refuses effects under an epoch older than the newest that it has met.
+    """Refuses effects under an epoch older than the newest that it has seen.
 
     It guards each receiver of effects of the fleet. A receiver that may restart stores `newest_epochs` with
     its own state."""
--- a/myrtlecrank/fleet/register/calls.py
+++ b/myrtlecrank/fleet/register/calls.py
@@ -110,11 +110,11 @@
                 self._advance(reply.call, pending, list(pending.votes.values()), now)
 
     def _update_voter(self, sender: str, reply: VoterReply, pending: PendingCall | None) -> None:
-        """Sends the newest voter set to a voter that has not heard of it, and repeats the request once a
+        """Sends the newest voter set to a voter that has not received it, and repeats the request once a
         round.
 
         The voter set is sent even if the round is over: a voter that is slower than the others would
-        otherwise never hear of it."""
+        otherwise never receive it."""
         if pending is None or sender not in pending.updated_voters:
             self.send(sender, VoterSetNotice(self.newest_voter_set))
         if pending is not None and isinstance(pending.step, Round) and sender not in pending.updated_voters:
--- a/myrtlecrank/fleet/register/caspaxos.py
+++ b/myrtlecrank/fleet/register/caspaxos.py
@@ -48,12 +48,12 @@
     be on their way to a proposer. As all others have stored the new boot number before they answer, any
     majority of votes made after that shows the old votes to be void (`valid_grants`).
 
-    The voter answers only under the newest voter set that it has heard of, and never returns to an older one.
+    The voter answers only under the newest voter set that it has received, and never returns to an older one.
     A request that was made under another voter set is refused with the voter's own.
 
     `configured_voters` are the voters of the operators' file, asked if the memory holds no voter set.
     `persist` writes the memory and returns True once it is durable; if it fails, the voter does not answer.
-    `memory_is_trusted` tells that the memory cannot be an older copy. `instance_id` is new with each start,
+    `memory_is_trusted` states that the memory cannot be an older copy. `instance_id` is new with each start,
     so that each identity of the voter is new too."""
 
     def __init__(
@@ -169,8 +169,8 @@
         if not self._write_memory():
             memory.voter_set = old
             return False
-        # A voter that was added for this voter set has nothing to learn from the others. That does not hold
-        # if its memory may be an older copy.
+        # A voter that was added for this voter set has no state to recover from the others. That does not
+        # hold if its memory may be an older copy.
         is_new_voter = (self.memory_is_trusted or self.times_added > 0) and not old.includes(
             self.name, memory.identity
         )
@@ -184,7 +184,7 @@
     def answer_rejoin(self, request: Rejoin) -> RejoinAnswer | VoterSetNotice | None:
         """The answer to a voter that rejoins, after its boot number is durable here.
 
-        None if this voter has lost its own memory, or the write fails. A requester that does not vote is told
+        None if this voter has lost its own memory, or the write fails. A requester that does not vote is sent
         the voter set."""
         if self.memory_is_lost or not self.is_current_voter:
             return (
@@ -295,7 +295,7 @@
 class Round:
     """One request to all voters of a voter set, or only to `single_voter`.
 
-    Whoever sends it resumes the call with the votes that arrived, at the latest after its own timeout."""
+    The sender resumes the call with the votes that arrived, at the latest after its own timeout."""
 
     request: VoterOperation
     voter_set: VoterSet
--- a/myrtlecrank/fleet/register/messages.py
+++ b/myrtlecrank/fleet/register/messages.py
@@ -141,7 +141,7 @@
 class Memory(Struct):
     """The state that a voter must not forget. It is durable before any message that depends on it is sent.
 
-    `voter_set` is the newest voter set that the voter has heard of. `identity` is the voter's own identity,
+    `voter_set` is the newest voter set that the voter has received. `identity` is the voter's own identity,
     empty for the founding voters. `token` is that of the last request by which it was added."""
 
     fleet: str
--- a/myrtlecrank/fleet/register/reconfiguration.py
+++ b/myrtlecrank/fleet/register/reconfiguration.py
@@ -49,8 +49,8 @@
 ) -> ReconfigurationCall:
     """Drops and adds these voters; with neither, completes a change that is under way.
 
-    A voter that is both dropped and added starts anew, with an empty memory. `token` differs from that of any
-    other attempt."""
+    A voter that is both dropped and added restarts as a new voter, with an empty memory. `token` differs
+    from that of any other attempt."""
     drop = sorted(set(drop))
     add = sorted(set(add))
     identities: dict[str, str] = {}
@@ -106,7 +106,8 @@
 def _add_voters(
     proposer: Proposer, voter_set: VoterSet, add: Iterable[str], token: str, identities: dict[str, str]
 ) -> Generator[Round | Pause, list[Vote], str]:
-    """Has each added voter start anew and notes its identity; one line on what is wrong, or an empty one."""
+    """Has each added voter start with an empty memory and notes its identity; one line on what is wrong, or
+    an empty one."""
     for name in add:
         votes: list[Vote] = []
         for _ in range(ADD_VOTER_ATTEMPTS):
--- a/myrtlecrank/fleet/register/voter_set.py
+++ b/myrtlecrank/fleet/register/voter_set.py
@@ -20,11 +20,11 @@
     """A numbered voter set.
 
     `number` grows by one with each change. `sets` maps each voter's name to its identity; it holds one map,
-    or two (old and new) in a joint configuration. An identity stands for one memory: a voter that loses its
+    or two (old and new) in a joint configuration. An identity belongs to one memory: a voter that loses its
     file and starts with an empty memory gets another one.
 
-    A number below 0 marks a voter set that was taken from the operators' file and never chosen: it tells whom
-    to ask first, and no request is granted under it."""
+    A number below 0 marks a voter set that was taken from the operators' file and never chosen: it lists the
+    voters to ask first, and no request is granted under it."""
 
     number: int = UNKNOWN_NUMBER
     sets: tuple[dict[str, str], ...] = ()
--- a/myrtlecrank/fleet/step_scheduler.py
+++ b/myrtlecrank/fleet/step_scheduler.py
@@ -35,8 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """One step to carry out now. Its receiver rejects an epoch below the newest that it has met, and does not
-    repeat a step that it has already taken. At `expires_at`, on the local clock, the step is abandoned."""
+    """One step to carry out now. Its receiver rejects an epoch below the newest that it has seen, and does
+    not repeat a step that it has already taken. At `expires_at`, on the local clock, the step is
+    abandoned."""
 
     duty: str
     epoch: int
--- a/myrtlecrank/policy/controller.py
+++ b/myrtlecrank/policy/controller.py
@@ -240,7 +240,7 @@
         }
         self.openness = max_openness.get(self.published_value_kind, 0.0)
         self.max_openness = self.openness
-        # Callers that hear too little forget the value and come all at once, so it never falls to nothing.
+        # Callers that get too few answers forget the value and send all at once, so it never falls to zero.
         min_openness = {PublishedValueKind.CREDIT: MIN_CREDIT, PublishedValueKind.WEIGHT: MIN_WEIGHT}
         self.min_openness = min_openness.get(self.published_value_kind, MIN_OPENNESS)
         self.published_value = -1.0
@@ -395,8 +395,8 @@
         """Denies, with what the caller should do instead of a retry at once.
 
         The queue absorbs short peaks: where it is full, other backends are likely full too, and each would
-        spend a read on the retry. So the caller is told not to try elsewhere, unless this backend is
-        unhealthy. The wait is random, lest all that are denied come back at once.
+        spend a read on the retry. So the answer advises the caller not to try elsewhere, unless this backend
+        is unhealthy. The wait is random, lest all that are denied come back at once.
         """
         if self.drain_ends_at < NEVER:
             return interface.Deny(state.exchange, is_final=False, retry_after=self.max_retry_after_ms)
@@ -527,14 +527,14 @@
         self._wake_at(state, min(state.deadline - self.answer_margin_ms, self._latest_useful_start(state)))
 
     def _resume(self, state: ExchangeState, reason: ResumeReason) -> None:
-        """Resumes an exchange, and takes it off its queue if it stands there."""
+        """Resumes an exchange, and removes it from its queue if it is queued."""
         if state in state.group.queue:
             state.group.queue.remove(state)
             self.queued_count -= 1
         self._advance(state, reason)
 
     def machine_started(self, cold: bool, born: float) -> None:
-        """The machine started at `born`, possibly under a backend that goes on.
+        """The machine started at `born`, possibly while the backend process keeps running.
 
         Its cores are cold again then, and survive what cold cores do.
         """
@@ -625,7 +625,7 @@
             group.learn_hint(state.exchange.work_hint, run_ms, rate)
 
     def call_reached(self, exchange: Exchange, now: float) -> None:
-        """A run stands at a call to the dependency."""
+        """A run waits at a call to the dependency."""
         self.now = now
         if exchange.controller_state is not None and exchange.controller_state.phase is Phase.RUNNING:
             self._advance(exchange.controller_state, ResumeReason.REACHED_CALL)
--- a/myrtlecrank/policy/exchange_state.py
+++ b/myrtlecrank/policy/exchange_state.py
@@ -14,11 +14,11 @@
 
 
 class Phase(Enum):
-    """Where an exchange stands."""
+    """The phases of an exchange, from queued to closed."""
 
     QUEUED = 1
     RUNNING = 2
-    WAITING_FOR_CALL = 3  # its run stands at a call that is not yet sent, or that failed
+    WAITING_FOR_CALL = 3  # its run waits at a call that is not yet sent, or that failed
     CALLING = 4  # its call to the dependency is in flight
     WAITING_FOR_ORIGINAL = 5  # it takes the outcome of the exchange that it retries
     CLOSED = 6
@@ -39,12 +39,12 @@
     """Why the flow of an exchange goes on, beside the outcomes of runs and calls."""
 
     CAPACITY_FREE = 0  # it may start its run or its call
-    REACHED_CALL = 1  # its run stands at a call to the dependency
+    REACHED_CALL = 1  # its run waits at a call to the dependency
     DURESS = 2  # it has the highest cancellation score under duress
     TOO_LATE = 3  # its time is up, or an answer could no longer be of use
     DISPLACED = 4  # rejected in favour of another, or for want of memory
     SHUTDOWN = 5  # the process is about to be stopped
-    RUN_ENDED = 6  # its run ended, not cancelled by the controller, while it stood at a call
+    RUN_ENDED = 6  # its run ended, not cancelled by the controller, while it waited at a call
 
 
 class ExchangeState:
--- a/myrtlecrank/policy/interface.py
+++ b/myrtlecrank/policy/interface.py
@@ -138,7 +138,7 @@
     work_hint: float = 0.0  # expected work; 0 where there is no hint
     # Probability that it retries an abandoned exchange; 0 where nothing is known.
     retry_probability: float = 0.0
-    # How long before this try the first one came, where it is likely a retry.
+    # How long before this try the first one arrived, where it is likely a retry.
     time_since_first_try: float = 0.0
     ignores_backpressure: bool = False  # its caller was seen to ignore both published value and advised waits
     original: Exchange | None = None  # the exchange that it retries
@@ -188,7 +188,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """Send the call to the dependency at which the run stands."""
+    """Send the call to the dependency at which the run waits."""
 
     exchange: Exchange
     timeout: float
@@ -233,7 +233,7 @@
 
 @dataclass(slots=True)
 class Publish:
-    """Tell callers this value from now on."""
+    """Publish this value to callers from now on."""
 
     value: float
 
--- a/myrtlecrank/retries/estimator.py
+++ b/myrtlecrank/retries/estimator.py
@@ -90,7 +90,8 @@
     ) -> ArrivalEstimate:
         """Records an arrival and returns its estimate.
 
-        `left`: the remaining time that its caller stated, from `reached` on, when it came to the machine."""
+        `left`: the remaining time that its caller stated, counted from `reached`, its arrival at the
+        machine."""
         self._fade(now)
         self.uncompleted.rotate_if_due(now)
         self.total_arrivals += 1
--- a/myrtlecrank/retries/noncompliance.py
+++ b/myrtlecrank/retries/noncompliance.py
@@ -1,4 +1,4 @@
-"""Which callers ignore backpressure: they come although they were told to stay away, or retry at once what
+"""Which callers ignore backpressure: they send although they were advised to wait, or retry at once what
 was denied.
 
 No mark by the caller is needed as evidence. Either an exchange reaches the machine while its caller should
@@ -12,14 +12,15 @@
 
 FADE_STEP_MS = 50.0  # between two updates of a caller's faded counts: each costs a power
 MIN_QUICK_RETRY_SHARE = 0.25  # of a caller's arrivals, from which it counts as noncompliant
-AWAY_MARGIN_MS = 1.0  # by which a caller may come early
+AWAY_MARGIN_MS = 1.0  # by which a caller may send early
 CREDIT_MARGIN = 1.0  # exchanges by which a caller may exceed its credit
 MIN_CREDIT = 1.0  # exchanges: each caller may have one outstanding
 CREDIT_BREACH_WEIGHT = 0.25  # of a breach of credit, against one of advice to stay away
 
 
 class CallerRecord:
-    """What one caller was told and how it complied. `breaches`, `arrivals` and `quick_retries` fade."""
+    """The advice that one caller received and how it complied. `breaches`, `arrivals` and `quick_retries`
+    fade."""
 
     __slots__ = (
         "arrivals",
--- a/myrtlecrank/retries/uncompleted.py
+++ b/myrtlecrank/retries/uncompleted.py
@@ -25,8 +25,9 @@
 
 
 class FilterGeneration:
-    """Four Bloom filters of fixed size: what arrived, what of it was rejected or failed, what came again, and
-    what is popular. The second and third count: the n-th occurrence is stored as the digest plus n - 1."""
+    """Four Bloom filters of fixed size: what arrived, what of it was rejected or failed, what arrived again,
+    and what is popular. The second and third count: the n-th occurrence is stored as the digest plus
+    n - 1."""
 
     def __init__(self, capacity: int) -> None:
         self.arrived = Bloom(capacity, FALSE_POSITIVE_SHARE, _identity)
