--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -5,6 +5,7 @@
 
 import json
 import signal
+from collections import Counter
 from collections.abc import Iterator
 from itertools import pairwise
 from pathlib import Path
@@ -49,6 +50,19 @@
     run.wait(lambda: all(run.stand_ins.resource.last_step[duty] >= last[duty] + more for duty in run.duties))
 
 
+def wait_until_balanced(run: OwnershipRun) -> None:
+    """Waits until every duty has an owner and takes steps, and no member owns two more than another."""
+
+    def is_balanced() -> bool:
+        rows = json.loads(run.run_fleet_command("owners", "--json").stdout)
+        owned = Counter({name: 0 for name in run.backends})
+        owned.update(row["owner"] for row in rows if row["owner"])
+        return owned.total() == len(rows) and max(owned.values()) - min(owned.values()) < 2
+
+    run.wait(is_balanced)
+    wait_for_steps(run, 2)
+
+
 def assert_safety(run: OwnershipRun) -> None:
     """The safety properties, as the resource observed them."""
     resource = run.stand_ins.resource
@@ -319,6 +333,8 @@
 
 @pytest.mark.parametrize("seconds", [-3600, 3600])
 def test_a_step_of_the_wall_clock_changes_nothing(fleet: OwnershipRun, seconds: int) -> None:
+    """Starts from balanced duties: a member that owns two more than another hands one over in any case."""
+    wait_until_balanced(fleet)
     owners = {duty: fleet.owner(duty) for duty in fleet.duties}
     for backend in fleet.backends.values():
         backend.wall_clock_file.write_text(str(seconds if backend.name == owners["duty-0"] else 0))
