--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -20,30 +20,63 @@
 from myrtlecrank.fleet.register.disk import decode, encode
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, VOTER_SET_KEY, Memory, Outcome, Record, Result
 from myrtlecrank.fleet.register.reconfiguration import ReconfigurationResult
-from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set, founding_voter_set
+from myrtlecrank.fleet.register.voter_set import VoterSet, configured_voter_set
 from rig.multi_node.checkers import Operation
 from rig.multi_node.member import DECODER, ENCODER, newest_voter_set
-from rig.multi_node.register_history import OperationRecorder, is_linearizable
-
-FOUNDERS, ALL = ("v0", "v1", "v2"), ("v0", "v1", "v2", "v3", "v4")
+from rig.multi_node.register_history import (
+    COMPLETE_CHANGE_SHARE,
+    FOUNDERS,
+    MAX_ATTEMPTS,
+    OperationRecorder,
+    count_known_outcomes,
+    founding_image,
+    is_linearizable,
+)
+
+CANDIDATES = ("v0", "v1", "v2", "v3", "v4")  # members that may become voters
+CALLERS = ("a", "b", "c", "d")
+RECONFIGURING_CALLER = "d"
 OPERATIONS = 26
 EVENTS = 6000
+EVENT_INTERVAL_MS = 1.0
+REPLY_TIMEOUT_MS = 1.0
 AFTER_ALL_TIMEOUTS_MS = 1e12  # past every due time
 
+CALL_START_PROBABILITY = 0.03  # for each event; leaves time for reconfigurations between other calls
+TIMEOUT_IN_FLIGHT_PROBABILITY = 0.05  # that calls time out while their messages are in flight
+REJOIN_REQUEST_PROBABILITY = 0.05  # for each event and voter without its state
+MIN_VOTERS_REACHED = 2
+MIN_VOTERS_REACHED_BY_RECONFIGURING_CALLER = 3
+
+# Kinds of events: each has the share of events between the limit before it and its own. The events above
+# the last limit have no effect of their own.
+DELIVERY_BELOW = 0.80
+LOSS_BELOW = 0.86
+TIMEOUT_BELOW = 0.95
+REACH_CHANGE_BELOW = 0.98
+VOTER_RESTART_BELOW = 0.99
+CALLER_RESTART_BELOW = 0.993
+STATE_LOSS_BELOW = 0.996
+
 
 @dataclass(frozen=True, slots=True)
 class Sent:
+    """A message in flight."""
+
     source: str
     target: str
     raw: bytes
 
 
 class Caller:
-    """A caller that reads and changes the record, or (`changes`) one that replaces voters."""
-
-    def __init__(self, play: ReconfigurationFuzz, name: str, changes: bool) -> None:
-        self.play, self.name, self.changes, self.incarnation = play, name, changes, 0
-        self.reach = set(ALL)
+    """A caller that reads and changes the record, or (`reconfigures`) one that replaces voters."""
+
+    def __init__(self, play: ReconfigurationFuzz, name: str, reconfigures: bool) -> None:
+        self.play = play
+        self.name = name
+        self.reconfigures = reconfigures
+        self.incarnation = 0
+        self.reachable_voters = set(CANDIDATES)
         self.recorder: OperationRecorder | None = None
         self.start()
 
@@ -51,143 +84,183 @@
         """Starts a new incarnation of the process."""
         self.incarnation += 1
         name, random = self.name, self.play.random
-        self.calls = Calls(1.0, lambda to, message: self.play.send(name, to, message))
+        self.calls = Calls(REPLY_TIMEOUT_MS, lambda to, message: self.play.send(name, to, message))
         self.proposer = Proposer(
-            f"{name}/{self.incarnation}", configured_voter_set(FOUNDERS), random.random, max_attempts=4
+            f"{name}/{self.incarnation}",
+            configured_voter_set(FOUNDERS),
+            random.random,
+            max_attempts=MAX_ATTEMPTS,
         )
         last = self.recorder.last if self.recorder is not None else EMPTY_RECORD
         self.recorder = OperationRecorder(self.proposer, self.play.history, random.random, last)
-        self.changed = 0
+        self.reconfiguration_count = 0
 
     def start_next_call(self) -> None:
+        """Starts an operation or a reconfiguration, if none is pending and the play has operations left."""
         play = self.play
         if self.calls.pending or play.operations_left <= 0 or self.recorder is None:
             return
-        if not self.changes and play.random.random() > 0.03:
-            return  # leaves time for reconfigurations between the calls of the others
-        if self.changes:
-            self.changed += 1
-            token = f"{self.proposer.proposer_id}:{self.changed}"
-            now = sorted(self.proposer.voter_set.names)
-            drop, add = [play.random.choice(now)], [play.random.choice(ALL)]
-            if play.random.random() < 0.2:
-                drop, add = [], []
-            self.calls.start(
-                reconfiguration.reconfigure(self.proposer, drop, add, token), self.reseated, play.now
-            )
+        if self.reconfigures:
+            self._start_reconfiguration()
+            return
+        if play.random.random() > CALL_START_PROBABILITY:
             return
         play.operations_left -= 1
         recorder = self.recorder
-        call, operation = recorder.next(play.now)
-        self.calls.start(call, lambda outcome, _: recorder.done(operation, outcome, play.now), play.now)
+        call, operation = recorder.begin_operation(play.now)
+        self.calls.start(
+            call, lambda outcome, _: recorder.record_outcome(operation, outcome, play.now), play.now
+        )
 
-    def reseated(self, how: ReconfigurationResult, _: float) -> None:
-        self.play.reseated += not how.error
+    def _start_reconfiguration(self) -> None:
+        play = self.play
+        self.reconfiguration_count += 1
+        token = f"{self.proposer.proposer_id}:{self.reconfiguration_count}"
+        drop = [play.random.choice(sorted(self.proposer.voter_set.names))]
+        add = [play.random.choice(CANDIDATES)]
+        if play.random.random() < COMPLETE_CHANGE_SHARE:
+            drop, add = [], []
+        call = reconfiguration.reconfigure(self.proposer, drop, add, token)
+        self.calls.start(call, self.finish_reconfiguration, play.now)
+
+    def finish_reconfiguration(self, result: ReconfigurationResult, _: float) -> None:
+        """Counts a completed reconfiguration."""
+        self.play.reconfigurations += not result.error
 
 
 class ReconfigurationFuzz:
-    def __init__(self, seed: int, loses: bool = False) -> None:
-        self.random, self.loses = Random(seed), loses
-        self.now, self.operations_left, self.reseated, self.starts = 0.0, OPERATIONS, 0, 0
+    """One play of random events. `loses_state`: voters lose their state too."""
+
+    def __init__(self, seed: int, loses_state: bool = False) -> None:
+        self.random = Random(seed)
+        self.loses_state = loses_state
+        self.now = 0.0
+        self.operations_left = OPERATIONS
+        self.reconfigurations = 0
+        self.voter_starts = 0
         self.history: list[Operation] = []
         self.in_flight: list[Sent] = []
-        self.images: dict[str, bytes] = {
-            name: encode(Memory("", name, 0, {}, {}, founding_voter_set(FOUNDERS))) for name in FOUNDERS
-        }
+        self.images: dict[str, bytes] = {name: founding_image(name) for name in FOUNDERS}
         self.voters: dict[str, Voter] = {}
-        for name in ALL:
-            self.start(name)
-        self.callers = {name: Caller(self, name, name == "d") for name in ("a", "b", "c", "d")}
+        for name in CANDIDATES:
+            self.start_voter(name)
+        self.callers = {name: Caller(self, name, name == RECONFIGURING_CALLER) for name in CALLERS}
 
-    def start(self, name: str) -> None:
-        self.starts += 1
+    def start_voter(self, name: str) -> None:
+        """Starts a new incarnation of a voter with its stored state."""
+        self.voter_starts += 1
         raw = self.images.get(name)
 
-        def keep(memory: Memory) -> bool:
+        def save(memory: Memory) -> bool:
             self.images[name] = encode(memory)
             return True
 
         memory = decode(raw) if raw is not None else None
-        self.voters[name] = Voter(name, FOUNDERS, memory, keep, instance_id=f"{name}/{self.starts}")
+        self.voters[name] = Voter(name, FOUNDERS, memory, save, instance_id=f"{name}/{self.voter_starts}")
 
     def send(self, source: str, target: str, message: Message) -> None:
+        """Puts a message in flight, unless it is between a caller and a voter that the caller cannot
+        reach."""
         caller = self.callers.get(source) or self.callers.get(target)
-        other = target if source in self.callers else source
-        if caller is None or other in caller.reach:
+        voter_name = target if source in self.callers else source
+        if caller is None or voter_name in caller.reachable_voters:
             self.in_flight.append(Sent(source, target, ENCODER.encode(message)))
 
-    def deliver(self, one: Sent) -> None:
-        message: Any = DECODER.decode(one.raw)
-        caller = self.callers.get(one.target)
+    def deliver(self, sent: Sent) -> None:
+        """Delivers a message to its caller or voter, and sends a voter's answer."""
+        message: Any = DECODER.decode(sent.raw)
+        caller = self.callers.get(sent.target)
         if caller is not None:
             if isinstance(message, VoterReply):
-                caller.calls.receive_vote(one.source, message, self.now)
+                caller.calls.receive_vote(sent.source, message, self.now)
             return
         # send() encodes at once: a reported memory must not change after it was sent.
-        for to, reply in answer_messages(self.voters[one.target], [(one.source, message)]):
-            self.send(one.target, to, reply)
+        for to, reply in answer_messages(self.voters[sent.target], [(sent.source, message)]):
+            self.send(sent.target, to, reply)
 
-    def lose(self) -> None:
+    def lose_voter_state(self) -> None:
         """Loses the state of one voter, and only while all voters vote."""
         names = newest_voter_set(self.voters.values()).names
         if all(self.voters[name].is_voting for name in names):
             name = self.random.choice(names)
             self.images.pop(name, None)
-            self.start(name)
-
-    def event(self) -> None:
-        random, kind = self.random, self.random.random()
-        if kind < 0.80 and self.in_flight:
-            self.deliver(self.in_flight.pop(random.randrange(len(self.in_flight))))
-        elif kind < 0.86 and self.in_flight:
-            self.in_flight.pop(random.randrange(len(self.in_flight)))
-        elif kind < 0.95:
-            # Its calls time out, seldom while their messages are in flight.
-            one = random.choice(list(self.callers.values()))
-            if random.random() < 0.05 or not any(one.name in (m.source, m.target) for m in self.in_flight):
-                one.calls.tick(AFTER_ALL_TIMEOUTS_MS)
-        elif kind < 0.98:
-            one = random.choice(list(self.callers.values()))
-            one.reach = set(random.sample(ALL, random.randint(3 if one.changes else 2, 5)))
-        elif kind < 0.99:
-            name = random.choice(ALL)
-            self.start(name)
-        elif kind < 0.993:
+            self.start_voter(name)
+
+    def run_event(self) -> None:
+        """Runs one random event; then voters may ask to rejoin, and callers start their next calls."""
+        random = self.random
+        share = random.random()
+        if share < DELIVERY_BELOW and self.in_flight:
+            self.deliver(self._take_random_message())
+        elif share < LOSS_BELOW and self.in_flight:
+            self._take_random_message()
+        elif share < TIMEOUT_BELOW:
+            self._time_out_calls(self._random_caller())
+        elif share < REACH_CHANGE_BELOW:
+            caller = self._random_caller()
+            least = MIN_VOTERS_REACHED_BY_RECONFIGURING_CALLER if caller.reconfigures else MIN_VOTERS_REACHED
+            caller.reachable_voters = set(random.sample(CANDIDATES, random.randint(least, len(CANDIDATES))))
+        elif share < VOTER_RESTART_BELOW:
+            self.start_voter(random.choice(CANDIDATES))
+        elif share < CALLER_RESTART_BELOW:
             # Its requests stay in flight, and nobody receives their outcome.
-            random.choice(list(self.callers.values())).start()
-        elif kind < 0.996 and self.loses:
-            self.lose()
-        for name, voter in self.voters.items():
-            asked = voter.rejoin_request()
-            if asked is not None and random.random() < 0.05:
-                for other in sorted(voter.others):
-                    self.send(name, other, asked)
+            self._random_caller().start()
+        elif share < STATE_LOSS_BELOW and self.loses_state:
+            self.lose_voter_state()
+        self._request_rejoins()
         for caller in self.callers.values():
             caller.start_next_call()
 
+    def _take_random_message(self) -> Sent:
+        return self.in_flight.pop(self.random.randrange(len(self.in_flight)))
+
+    def _random_caller(self) -> Caller:
+        return self.random.choice(list(self.callers.values()))
+
+    def _time_out_calls(self, caller: Caller) -> None:
+        """Times out the calls of a caller, seldom while their messages are in flight."""
+        if self.random.random() < TIMEOUT_IN_FLIGHT_PROBABILITY or not any(
+            caller.name in (sent.source, sent.target) for sent in self.in_flight
+        ):
+            caller.calls.tick(AFTER_ALL_TIMEOUTS_MS)
+
+    def _request_rejoins(self) -> None:
+        for name, voter in self.voters.items():
+            request = voter.rejoin_request()
+            if request is not None and self.random.random() < REJOIN_REQUEST_PROBABILITY:
+                for other in sorted(voter.others):
+                    self.send(name, other, request)
+
     def run(self) -> FuzzResult:
+        """Runs events until all operations have ended, and checks the history."""
         for _ in range(EVENTS):
-            if self.operations_left <= 0 and not any(one.calls.pending for one in self.callers.values()):
+            if self.operations_left <= 0 and not any(
+                caller.calls.pending for caller in self.callers.values()
+            ):
                 break
-            self.now += 1.0
-            self.event()
-        known = sum(operation.end != float("inf") for operation in self.history)
-        return FuzzResult(is_linearizable(self.history), known, self.reseated)
+            self.now += EVENT_INTERVAL_MS
+            self.run_event()
+        return FuzzResult(
+            is_linearizable(self.history), count_known_outcomes(self.history), self.reconfigurations
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class FuzzResult:
+    """Whether the history of one play is linearizable, and how much took place in it."""
+
     ok: bool
-    known: int  # calls whose outcome was received
-    reseated: int  # completed reconfigurations
+    known_outcomes: int  # operations whose outcome was received
+    reconfigurations: int  # completed ones
 
 
-def play(seed: int, loses: bool = False, bug: str | None = None) -> FuzzResult:
-    undo = INJECTED_FAULTS[bug]() if bug is not None else lambda: None
+def play(seed: int, loses_state: bool = False, bug: str | None = None) -> FuzzResult:
+    """Runs one play, with the injected fault of that name if one is given."""
+    remove_fault = INJECTED_FAULTS[bug]() if bug is not None else lambda: None
     try:
-        return ReconfigurationFuzz(seed, loses).run()
+        return ReconfigurationFuzz(seed, loses_state).run()
     finally:
-        undo()
+        remove_fault()
 
 
 # -- injected faults; each returns a function that removes it
@@ -195,49 +268,50 @@
 Undo = Callable[[], None]
 
 
-def _replace_attribute(owner: Any, name: str, new: Any) -> Undo:
-    old = getattr(owner, name)
-    setattr(owner, name, new)
-    return lambda: setattr(owner, name, old)
+def _replace_attribute(owner: Any, name: str, replacement: Any) -> Undo:
+    original = getattr(owner, name)
+    setattr(owner, name, replacement)
+    return lambda: setattr(owner, name, original)
 
 
 def no_joint() -> Undo:
     """Uses the new voters at once, without a majority of the old ones."""
-    real = VoterSet.begin_change
+    original = VoterSet.begin_change
 
-    def changed(voter_set: VoterSet, drop: Iterable[str], add: dict[str, str]) -> VoterSet:
-        return VoterSet(voter_set.number + 1, real(voter_set, drop, add).sets[-1:])
+    def begin_change(voter_set: VoterSet, drop: Iterable[str], add: dict[str, str]) -> VoterSet:
+        return VoterSet(voter_set.number + 1, original(voter_set, drop, add).sets[-1:])
 
-    return _replace_attribute(VoterSet, "begin_change", changed)
+    return _replace_attribute(VoterSet, "begin_change", begin_change)
 
 
 def no_rewrite() -> Undo:
     """Uses the new voters alone before they hold the chosen records."""
 
-    def settled(proposer: Proposer, record: Record, joint: VoterSet) -> Any:
-        changed: Outcome = yield from proposer.compare_and_set(
+    def complete_at_once(proposer: Proposer, record: Record, joint: VoterSet) -> Any:
+        outcome: Outcome = yield from proposer.compare_and_set(
             VOTER_SET_KEY, record, msgspec.msgpack.encode(joint.complete_change())
         )
-        return changed.result is Result.DONE and proposer.adopt_voter_set(joint.complete_change())
+        return outcome.result is Result.DONE and proposer.adopt_voter_set(joint.complete_change())
 
-    return _replace_attribute(reconfiguration, "complete_reconfiguration", settled)
+    return _replace_attribute(reconfiguration, "complete_reconfiguration", complete_at_once)
 
 
 def any_roster() -> Undo:
     """A voter answers requests under any voter set, and continues after it was removed."""
-    real = Voter._answer
+    original = Voter._answer
 
-    def answer(voter: Voter, mark: str, asked: Any) -> Any:
+    def answer(voter: Voter, fingerprint: str, request: Any) -> Any:
         if (
-            mark.startswith("-")
-            or not hasattr(asked, "key")
+            fingerprint.startswith("-")
+            or not hasattr(request, "key")
             or voter.memory_is_lost
             or voter.memory.voter_set.number < 0
         ):
-            return real(voter, mark, asked)
-        was, voter.is_voting = voter.is_voting, True
-        vote = real(voter, voter.memory.voter_set.fingerprint(), asked)
-        voter.is_voting = was
+            return original(voter, fingerprint, request)
+        was_voting = voter.is_voting
+        voter.is_voting = True
+        vote = original(voter, voter.memory.voter_set.fingerprint(), request)
+        voter.is_voting = was_voting
         return vote
 
     return _replace_attribute(Voter, "_answer", answer)
--- a/tests/test_fleet_reconfiguration.py
+++ b/tests/test_fleet_reconfiguration.py
@@ -387,15 +387,20 @@
 
 @pytest.mark.parametrize("trusted", [False, True])
 def test_histories_stay_linearizable_while_voters_are_replaced(trusted: bool) -> None:
-    histories = [register_history.play(seed, trusted, change=True) for seed in range(40)]
+    histories = [register_history.play(seed, trusted, replaces_voters=True) for seed in range(40)]
     assert [one.seed for one in histories if not one.ok] == []
-    assert sum(one.known for one in histories) > 400 and sum(one.reseated for one in histories) > 12
+    assert (
+        sum(one.known_outcomes for one in histories) > 400
+        and sum(one.reconfigurations for one in histories) > 12
+    )
 
 
 def test_histories_stay_linearizable_under_any_order_of_messages() -> None:
-    played = [reconfiguration_fuzz.play(seed, loses=seed % 2 == 0) for seed in range(1, 61)]
+    played = [reconfiguration_fuzz.play(seed, loses_state=seed % 2 == 0) for seed in range(1, 61)]
     assert [seed for seed, one in enumerate(played, 1) if not one.ok] == []
-    assert sum(one.known for one in played) > 700 and sum(one.reseated for one in played) > 15
+    assert (
+        sum(one.known_outcomes for one in played) > 700 and sum(one.reconfigurations for one in played) > 15
+    )
 
 
 @pytest.mark.parametrize(("bug", "seed"), [("no-joint", 16), ("no-rewrite", 16), ("any-roster", 238)])
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -439,7 +439,9 @@
 def test_histories_under_faults_are_linearizable(trusted: bool) -> None:
     histories = [register_history.play(seed, trusted) for seed in range(60)]
     assert [one.seed for one in histories if not one.ok] == []
-    assert sum(one.known for one in histories) > 500, "most calls end, or the checker has too little to check"
+    assert sum(one.known_outcomes for one in histories) > 500, (
+        "most calls end, or the checker has too little to check"
+    )
 
 
 def test_a_seed_gives_the_same_history_each_time() -> None:
@@ -450,8 +452,11 @@
     ("bug", "seeds"), [("stale", range(20, 21)), ("ballot", range(299, 300)), ("forget", range(27, 28))]
 )
 def test_injected_faults_of_the_register_are_found(bug: str, seeds: range) -> None:
-    plant = {"stale": register_history.stale_read, "ballot": register_history.ballot_again}.get(bug)
-    assert not all(register_history.play(seed, plant=plant, forget=bug == "forget").ok for seed in seeds)
+    inject_fault = {"stale": register_history.stale_read, "ballot": register_history.ballot_again}.get(bug)
+    assert not all(
+        register_history.play(seed, inject_fault=inject_fault, starts_empty_after_loss=bug == "forget").ok
+        for seed in seeds
+    )
 
 
 def test_the_answer_to_a_first_rejoin_request_says_that_no_boot_was_known() -> None:
