--- a/rig/multi_node/ownership_model_check.py
+++ b/rig/multi_node/ownership_model_check.py
@@ -17,7 +17,7 @@
 from myrtlecrank.fleet.ownership.lease import Duty, Lease, LeaseTimings, ReadRecord, WriteRecord
 from myrtlecrank.fleet.register.messages import EMPTY_RECORD, Outcome, Record, Result
 
-TERMS = LeaseTimings(
+TIMINGS = LeaseTimings(
     lease_ms=3.0,
     takeover_wait_ms=4.0,
     renewal_interval_ms=1.0,
@@ -26,21 +26,24 @@
     successor_wait_ms=2.0,
 )
 NAMES = ("a/1", "b/1")
+MAX_RELATIVE_UNITS = 20.0  # longer than every wait: times further from now make no difference
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A call in flight. `outcome` is set once the register has executed it; `waited` is false after its
+    """A call in flight. `outcome` is set once the register has executed it; `is_awaited` is false after its
     timeout."""
 
     member: int
-    asked: ReadRecord | WriteRecord
+    request: ReadRecord | WriteRecord
     outcome: Outcome | None = None
-    waited: bool = True
+    is_awaited: bool = True
 
 
 @dataclass(frozen=True)
 class State:
+    """One state of the search: the time, the chosen record, the members' duties and the calls in flight."""
+
     now: int
     record: Record
     duties: tuple[Duty, ...]
@@ -53,178 +56,211 @@
     def _duty(self, duty: Duty) -> tuple[Any, ...]:
         """Returns the state of a duty. Times are clamped: beyond the limit they make no difference."""
 
-        def ago(at: float) -> float:
-            return max(-20.0, min(20.0, at - self.now))
+        def relative(at: float) -> float:
+            return max(-MAX_RELATIVE_UNITS, min(MAX_RELATIVE_UNITS, at - self.now))
 
         return (
             duty.record,
             duty.record_is_known,
-            ago(duty.record_seen_at),
+            relative(duty.record_seen_at),
             duty.epoch,
-            ago(duty.lease_end),
+            relative(duty.lease_end),
             duty.attempts,
             duty.sent_attempt,
-            ago(duty.sent_at),
+            relative(duty.sent_at),
             duty.pending_request,
-            ago(duty.due),
+            relative(duty.due),
             duty.successor,
             duty.completed_step,
         )
 
 
 class ModelCheck:
-    """The search. `plant` injects a fault into each duty before it."""
+    """The search. `inject_fault` changes each duty before it."""
 
     def __init__(
-        self, depth: int, timings: LeaseTimings = TERMS, plant: Callable[[Duty], None] | None = None
+        self,
+        depth: int,
+        timings: LeaseTimings = TIMINGS,
+        inject_fault: Callable[[Duty], None] | None = None,
     ) -> None:
-        self.depth, self.timings = depth, timings
-        self.plant = plant
+        self.depth = depth
+        self.timings = timings
+        self.inject_fault = inject_fault
         self.visited: dict[tuple[Any, ...], int] = {}
         self.violations: list[tuple[str, ...]] = []
         self.owners: set[str] = set()  # members that owned the duty in some order
         self.later_epoch_states = 0  # states with an owner of a later epoch
 
     def run(self, owned: bool = False) -> ModelCheck:
-        """Searches from a duty without owner; or, with `owned`, from one that a has just acquired and b has
-        read."""
+        """Searches from a duty without owner; or, with `owned`, from one that the first member has just
+        acquired and the second has read."""
         duties = tuple(Duty("d", name, self.timings) for name in NAMES)
-        if self.plant is not None:
+        if self.inject_fault is not None:
             for duty in duties:
-                self.plant(duty)
+                self.inject_fault(duty)
         record = EMPTY_RECORD
         if owned:
-            first = duties[0]
+            first, second = duties
             for _ in range(2):  # a read, then the acquisition
-                asked = first.next_request(0.0, True, 0)
-                assert asked is not None
-                first.request_sent(asked, 0.0)
-                if isinstance(asked, WriteRecord):
-                    record = Record(1, asked.value(), f"{first.owner_id}:{asked.lease.attempt}")
+                request = first.next_request(0.0, True, 0)
+                assert request is not None
+                first.request_sent(request, 0.0)
+                if isinstance(request, WriteRecord):
+                    record = Record(1, request.value(), f"{first.owner_id}:{request.lease.attempt}")
                 first.outcome_received(Outcome(Result.DONE, record), 0.0)
-            duties[1].request_sent(ReadRecord(False), 0.0)
-            duties[1].outcome_received(Outcome(Result.DONE, record), 0.0)
-        self._from(State(0, record, duties), self.depth, ())
+            second.request_sent(ReadRecord(False), 0.0)
+            second.outcome_received(Outcome(Result.DONE, record), 0.0)
+        self._explore(State(0, record, duties), self.depth, ())
         return self
 
-    def _from(self, state: State, left: int, way: tuple[str, ...]) -> None:
+    def _explore(self, state: State, events_left: int, events: tuple[str, ...]) -> None:
+        """Explores all orders of the events left, from a state that the given events led to."""
         key = state.key()
-        if self.violations or self.visited.get(key, -1) >= left:
+        if self.violations or self.visited.get(key, -1) >= events_left:
             return
-        self.visited[key] = left
+        self.visited[key] = events_left
         owners = [
             (duty.owner_id, epoch)
-            for duty in map(copied, state.duties)
+            for duty in map(copy_duty, state.duties)
             if (epoch := duty.owns(float(state.now))) is not None
         ]
         self.owners.update(name for name, _ in owners)
         self.later_epoch_states += any(epoch > 1 for _, epoch in owners)
         if len(owners) > 1:
-            self.violations.append(way)
+            self.violations.append(events)
             return
-        if left:
-            for what, after in self._events(state):
-                self._from(after, left - 1, (*way, what))
-
-    def _events(self, state: State) -> Iterator[tuple[str, State]]:
-        now = float(state.now)
-        for i, duty in enumerate(state.duties):
-            mine = copied(duty)
-            asked = mine.next_request(now, True, 0)
-            if asked is not None:
-                mine.request_sent(asked, now)
-                yield (
-                    f"{duty.owner_id} asks",
-                    self._with(state, i, mine, calls=(*state.calls, Sent(i, asked))),
-                )
+        if events_left:
+            for event, next_state in self._next_states(state):
+                self._explore(next_state, events_left - 1, (*events, event))
+
+    def _next_states(self, state: State) -> Iterator[tuple[str, State]]:
+        """Returns each event that is possible in a state, with the state that it leads to."""
+        for member in range(len(state.duties)):
+            yield from self._send(state, member)
         for sent in state.calls:
-            rest = tuple(one for one in state.calls if one is not sent)
-            name = state.duties[sent.member].owner_id
             if sent.outcome is None:
-                for outcome, record in self._taken(state, sent):
-                    took = (*rest, replace(sent, outcome=outcome)) if sent.waited else rest
-                    yield f"{name}'s call is taken", replace(state, record=record, calls=took)
-            if not sent.waited:
+                yield from self._execute(state, sent)
+            if not sent.is_awaited:
                 continue
             if sent.outcome is not None:
-                mine = copied(state.duties[sent.member])
-                mine.outcome_received(sent.outcome, now)
-                yield f"{name} hears", self._with(state, sent.member, mine, calls=rest)
-            mine = copied(state.duties[sent.member])
-            mine.outcome_received(
-                Outcome(Result.UNKNOWN if isinstance(sent.asked, WriteRecord) else Result.UNAVAILABLE), now
-            )
-            lost = isinstance(sent.asked, WriteRecord) and sent.outcome is None
-            ghost = (*rest, replace(sent, waited=False)) if lost else rest
-            yield f"{name} gives up", self._with(state, sent.member, mine, calls=ghost)
-        yield "time", replace(state, now=state.now + 1)
+                yield self._receive_answer(state, sent, sent.outcome)
+            yield self._time_out(state, sent)
+        yield "time advances", replace(state, now=state.now + 1)
+
+    def _send(self, state: State, member: int) -> Iterator[tuple[str, State]]:
+        now = float(state.now)
+        duty = copy_duty(state.duties[member])
+        request = duty.next_request(now, True, 0)
+        if request is not None:
+            duty.request_sent(request, now)
+            calls = (*state.calls, Sent(member, request))
+            yield f"{duty.owner_id} sends a call", self._with_duty(state, member, duty, calls)
+
+    def _execute(self, state: State, sent: Sent) -> Iterator[tuple[str, State]]:
+        other_calls = calls_without(state, sent)
+        event = f"the register executes a call of {state.duties[sent.member].owner_id}"
+        for outcome, record in self._possible_outcomes(state, sent):
+            calls = (*other_calls, replace(sent, outcome=outcome)) if sent.is_awaited else other_calls
+            yield event, replace(state, record=record, calls=calls)
+
+    def _receive_answer(self, state: State, sent: Sent, outcome: Outcome) -> tuple[str, State]:
+        duty = copy_duty(state.duties[sent.member])
+        duty.outcome_received(outcome, float(state.now))
+        next_state = self._with_duty(state, sent.member, duty, calls_without(state, sent))
+        return f"{duty.owner_id} receives an answer", next_state
+
+    def _time_out(self, state: State, sent: Sent) -> tuple[str, State]:
+        """A write that times out before its execution stays in flight."""
+        duty = copy_duty(state.duties[sent.member])
+        is_write = isinstance(sent.request, WriteRecord)
+        duty.outcome_received(Outcome(Result.UNKNOWN if is_write else Result.UNAVAILABLE), float(state.now))
+        calls = calls_without(state, sent)
+        if is_write and sent.outcome is None:
+            calls = (*calls, replace(sent, is_awaited=False))
+        return f"a call of {duty.owner_id} times out", self._with_duty(state, sent.member, duty, calls)
 
     @staticmethod
-    def _with(state: State, i: int, duty: Duty, calls: tuple[Sent, ...]) -> State:
-        return replace(state, duties=(*state.duties[:i], duty, *state.duties[i + 1 :]), calls=calls)
+    def _with_duty(state: State, member: int, duty: Duty, calls: tuple[Sent, ...]) -> State:
+        duties = (*state.duties[:member], duty, *state.duties[member + 1 :])
+        return replace(state, duties=duties, calls=calls)
 
     @staticmethod
-    def _taken(state: State, sent: Sent) -> Iterator[tuple[Outcome, Record]]:
-        asked, stands = sent.asked, state.record
-        if isinstance(asked, WriteRecord):
-            if asked.expected.writer != stands.writer:
-                yield Outcome(Result.CONFLICT, stands), stands
+    def _possible_outcomes(state: State, sent: Sent) -> Iterator[tuple[Outcome, Record]]:
+        """Returns each outcome that a call may have now, with the record that is chosen after it."""
+        request = sent.request
+        chosen = state.record
+        if isinstance(request, WriteRecord):
+            if request.expected.writer != chosen.writer:
+                yield Outcome(Result.CONFLICT, chosen), chosen
                 return
-            new = written(state, sent)
+            new = written_record(state, sent.member, request)
             yield Outcome(Result.DONE, new), new
             return
-        yield Outcome(Result.DONE, stands), stands
-        if not asked.is_verified:
+        yield Outcome(Result.DONE, chosen), chosen
+        if not request.is_verified:
             for other in state.calls:
-                if isinstance(other.asked, WriteRecord) and other.outcome is None:
-                    yield Outcome(Result.DONE, written(state, other)), stands
+                if isinstance(other.request, WriteRecord) and other.outcome is None:
+                    attempted = written_record(state, other.member, other.request)
+                    yield Outcome(Result.DONE, attempted), chosen
 
 
-def written(state: State, sent: Sent) -> Record:
+def calls_without(state: State, sent: Sent) -> tuple[Sent, ...]:
+    """Returns the calls in flight except one."""
+    return tuple(call for call in state.calls if call is not sent)
+
+
+def written_record(state: State, member: int, request: WriteRecord) -> Record:
     """Returns the record that a change writes, identified by its writer as in the register."""
-    assert isinstance(sent.asked, WriteRecord)
-    lease: Lease = sent.asked.lease
-    writer = f"{state.duties[sent.member].owner_id}:{lease.attempt}"
-    return Record(sent.asked.expected.version + 1, sent.asked.value(), writer)
+    lease: Lease = request.lease
+    writer = f"{state.duties[member].owner_id}:{lease.attempt}"
+    return Record(request.expected.version + 1, request.value(), writer)
 
 
-def copied(duty: Duty) -> Duty:
+def copy_duty(duty: Duty) -> Duty:
     """Returns a copy of the duty. All that it refers to is frozen except its list of changes for the log."""
-    twin = copy(duty)
-    twin.log_lines = []
-    return twin
+    duplicate = copy(duty)
+    duplicate.log_lines = []
+    return duplicate
 
 
 # -- injected faults
 
 
-def counts_from_the_answer(duty: Duty) -> None:
+def lease_counts_from_answer(duty: Duty) -> None:
     """Measures the lease from the arrival of the answer instead of the sending of the call."""
-    duty.__class__ = CountsFromAnswer
+    duty.__class__ = LeaseCountsFromAnswer
+
 
+class LeaseCountsFromAnswer(Duty):
+    """A duty with the fault `lease_counts_from_answer`."""
 
-class CountsFromAnswer(Duty):
     def outcome_received(self, outcome: Outcome, now: float) -> None:
+        """Moves the start of the lease to the arrival of the answer."""
         if isinstance(self.pending_request, WriteRecord):
             self.sent_at = now
         super().outcome_received(outcome, now)
 
 
-def believes_a_glance(duty: Duty) -> None:
+def trusts_unverified_reads(duty: Duty) -> None:
     """Trusts an unverified read: an owner whose last write is in doubt does only unverified reads."""
-    duty.__class__ = BelievesGlance
+    duty.__class__ = TrustsUnverifiedReads
 
 
-class BelievesGlance(Duty):
-    def _take_in(self, record: Record, lease: Lease, sure: bool, now: float) -> None:
+class TrustsUnverifiedReads(Duty):
+    """A duty with the fault `trusts_unverified_reads`."""
+
+    def _take_in(self, record: Record, lease: Lease, is_verified: bool, now: float) -> None:
         super()._take_in(record, lease, True, now)
 
 
-def one_turn(duty: Duty) -> None:
+def reuses_attempt_numbers(duty: Duty) -> None:
     """Gives all writes of one epoch the same attempt number, so that an older one passes for a newer one."""
-    duty.__class__ = OneTurn
+    duty.__class__ = ReusesAttemptNumbers
+
 
+class ReusesAttemptNumbers(Duty):
+    """A duty with the fault `reuses_attempt_numbers`."""
 
-class OneTurn(Duty):
     def _new_lease(self, owner: str, epoch: int, successor: str, progress: int) -> Lease:
         return Lease(owner, epoch, 1, successor, progress)
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -27,9 +27,9 @@
 from myrtlecrank.fleet.step_scheduler import DutySchedule, Effect, StepScheduler
 from rig.multi_node.ownership_model_check import (
     ModelCheck,
-    believes_a_glance,
-    counts_from_the_answer,
-    one_turn,
+    lease_counts_from_answer,
+    reuses_attempt_numbers,
+    trusts_unverified_reads,
 )
 
 TIMINGS = LeaseTimings.derive(1000.0, 0.01, 250.0)
@@ -455,12 +455,13 @@
 
 
 @pytest.mark.parametrize(
-    ("plant", "depth"), [(counts_from_the_answer, 14), (believes_a_glance, 12), (one_turn, 11)]
+    ("inject_fault", "depth"),
+    [(lease_counts_from_answer, 14), (trusts_unverified_reads, 12), (reuses_attempt_numbers, 11)],
 )
 def test_the_model_check_finds_injected_faults_of_ownership(
-    plant: Callable[[Duty], None], depth: int
+    inject_fault: Callable[[Duty], None], depth: int
 ) -> None:
-    assert ModelCheck(depth, plant=plant).run(owned=True).violations
+    assert ModelCheck(depth, inject_fault=inject_fault).run(owned=True).violations
 
 
 def test_the_model_check_finds_a_wait_shorter_than_the_lease() -> None:
