--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -125,7 +125,7 @@
     try:
         if virtual:
             scene = ownership_experiment.Scenario(
-                length_ms=30_000.0 if quick else 60_000.0, fence=bug != "fence", reseats=reseats
+                length_ms=30_000.0 if quick else 60_000.0, fence=bug != "fence", replaces_voters=reseats
             )
             one = ownership_experiment.play(seed, scene, INJECTED_FAULTS.get(bug or ""))
         else:
--- a/rig/multi_node/ownership_experiment.py
+++ b/rig/multi_node/ownership_experiment.py
@@ -18,8 +18,13 @@
 from rig.multi_node.environment import SimulatedEnvironment
 from rig.multi_node.member import Member, newest_voter_set
 
-DRIFT = 0.01
-PAUSE_IN_WRITE_SHARE = 0.003  # effects with a pause between the check of the lease and the write
+CLOCK_DRIFT = 0.01
+ZONES = 3
+POLLS_PER_LEASE = 4.0
+STEP_DEADLINE_MS = 400.0
+STEP_BACK_OFF_MS = 100.0
+REGISTER_REPLY_MS = 250.0
+REBALANCE_MS = 3000.0
 MEMBERSHIP_TIMING = MembershipTiming(
     probe_interval_ms=500.0,
     probe_reply_ms=150.0,
@@ -30,6 +35,38 @@
 )
 LENGTH_MS = 60_000.0
 
+# Effects on their way to the resource
+EFFECT_WRITE_MS = 0.2
+EFFECT_BYTES = 60
+EFFECT_ANSWER_BYTES = 20
+PAUSE_IN_WRITE_SHARE = 0.003  # effects with a pause between the check of the lease and the write
+MIN_PAUSE_IN_WRITE_MS = 500.0
+
+# Samples of whether a majority of voters is reachable
+MAJORITY_SAMPLING_INTERVAL_MS = 25.0
+MAX_ROUND_LINK_DELAY_MS = 100.0  # a link with a longer additional delay counts as unusable
+
+# Faults; lengths in leases are multiples of Scenario.lease_ms
+FIRST_FAULT_MS = 5000.0
+FAULTLESS_END_MS = 12_000.0  # the recovery after the last fault is checked too
+MIN_FAULT_MS = 200.0
+MAX_FAULT_LEASES = 3.0
+RESEAT_WEIGHT = 8  # entries of "reseat" beside those of FAULTS
+MIN_SLOW_LINK_DELAY_MS = 50.0
+MAX_SLOW_LINK_DELAY_LEASES = 1.5
+DRAIN_MS = 400.0  # from the start of a drain to the end of the process
+WALL_CLOCK_STEP_MS = 3_600_000.0
+FLAPS = 12
+FLAP_INTERVAL_MS = 350.0
+FLAP_CUT_MS = 170.0
+MIN_VOTER_DOWN_SHARE = 0.2  # of a fault's duration, if all voters restart
+VOTER_DOWN_SPREAD = 0.1
+
+# Figures
+START_UP_MS = 4000.0  # unowned time is counted after it
+USUAL_GAP_STEPS = 3.0  # a longer gap between two steps, in step intervals, is unowned time
+STUCK_AFTER_MS = 3000.0  # a duty without a step for so long at the end is stuck
+
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
@@ -44,7 +81,7 @@
     step_interval_ms: float = 120.0
     lease_ms: float = 600.0
     poll_interval_ms: float = 0.0  # of the fleet monitor; 0: off
-    reseats: bool = False  # inject changes of the voters too
+    replaces_voters: bool = False  # inject changes of the voters too
     fence: bool = True  # of the resource; off only to test that late effects are detected
 
 
@@ -91,11 +128,19 @@
     """Returns the configuration that all members share."""
     voters = tuple(f"m{i}" for i in range(scenario.voters))
     schedules = tuple(
-        DutySchedule(f"duty-{i}", scenario.step_interval_ms, 400.0, 100.0) for i in range(scenario.duties)
+        DutySchedule(f"duty-{i}", scenario.step_interval_ms, STEP_DEADLINE_MS, STEP_BACK_OFF_MS)
+        for i in range(scenario.duties)
     )
-    lease_terms = LeaseTimings.derive(scenario.lease_ms, DRIFT, scenario.lease_ms / 4.0)
     return FleetConfig(
-        voters, schedules, lease_terms, MEMBERSHIP_TIMING, 250.0, 3000.0, scenario.poll_interval_ms
+        voters=voters,
+        schedules=schedules,
+        lease_timings=LeaseTimings.derive(
+            scenario.lease_ms, CLOCK_DRIFT, scenario.lease_ms / POLLS_PER_LEASE
+        ),
+        membership_timing=MEMBERSHIP_TIMING,
+        register_reply_ms=REGISTER_REPLY_MS,
+        rebalance_ms=REBALANCE_MS,
+        view_interval_ms=scenario.poll_interval_ms,
     )
 
 
@@ -105,61 +150,64 @@
     def __init__(
         self, seed: int, scenario: Scenario, inject_fault: Callable[[Simulation], None] | None = None
     ) -> None:
-        self.scenario, self.environment = scenario, SimulatedEnvironment(seed)
+        self.seed = seed
+        self.scenario = scenario
+        self.environment = SimulatedEnvironment(seed)
         if not scenario.faults:
             self.environment.loss_probability = 0.0
         self.config = fleet_config(scenario)
         self.resource = Resource(fence=scenario.fence)
         names = [f"m{i}" for i in range(scenario.members)]
         self.members = [
-            Member(self.environment, name, f"z{i % 3}", self.config, names, DRIFT, self.carry_out)
+            Member(self.environment, name, f"z{i % ZONES}", self.config, names, CLOCK_DRIFT, self.carry_out)
             for i, name in enumerate(names)
         ]
-        for one in self.members:
-            one.peers = {other.name: other for other in self.members}
+        for member in self.members:
+            member.peers = {peer.name: peer for peer in self.members}
         self.script: list[tuple[float, str, str, float]] = []
         self.actions: list[tuple[float, str, str]] = []  # time of the decision, duty, owner
-        self.outages = MajorityOutages(
-            self.config.lease_timings.takeover_wait_ms + 2.0 * self.config.lease_timings.poll_interval_ms
-        )
-        self.seed = seed
+        timings = self.config.lease_timings
+        self.outages = MajorityOutages(timings.takeover_wait_ms + 2.0 * timings.poll_interval_ms)
         self.voters_changed = 0
         if inject_fault is not None:
             inject_fault(self)
-        for one in self.members:
-            one.start()
+        for member in self.members:
+            member.start()
         self.sample_majority()
         if scenario.faults:
-            self.environment.schedule(5000.0, self.inject_next_fault)
+            self.environment.schedule(FIRST_FAULT_MS, self.inject_next_fault)
 
     # -- effects on their way to the resource
 
     def carry_out(self, member: Member, effect: Effect) -> None:
         """Starts the write of an effect, at times with a pause in it."""
-        environment = self.environment
+        environment, random = self.environment, self.environment.random
         self.actions.append((environment.now, effect.duty, f"{member.fleet.owner_id} {effect.epoch}"))
-        if self.scenario.faults and environment.random.random() < PAUSE_IN_WRITE_SHARE:
+        if self.scenario.faults and random.random() < PAUSE_IN_WRITE_SHARE:
             # Paused during the write: the lease was checked, and the bytes leave much later.
-            self.record_fault(
-                "stop-in-write",
-                member.name,
-                ms := environment.random.uniform(500.0, 3.0 * self.scenario.lease_ms),
-            )
-            member.pause_for(ms)
-        member.host.run_at(environment.now + 0.2, lambda: self.send_effect(member, effect))
+            pause_ms = random.uniform(MIN_PAUSE_IN_WRITE_MS, MAX_FAULT_LEASES * self.scenario.lease_ms)
+            self.record_fault("stop-in-write", member.name, pause_ms)
+            member.pause_for(pause_ms)
+        member.host.run_at(environment.now + EFFECT_WRITE_MS, lambda: self.send_effect(member, effect))
 
     def send_effect(self, member: Member, effect: Effect) -> None:
+        """Sends an effect to the resource, which sends its answer back."""
         owner = member.fleet.owner_id
 
         def arrive() -> None:
             taken = self.resource.offer(self.environment.now, owner, effect)
             self.environment.transmit(
-                "resource", member.name, 20, lambda: self.deliver_answer(member, owner, effect, taken)
+                "resource",
+                member.name,
+                EFFECT_ANSWER_BYTES,
+                lambda: self.deliver_answer(member, owner, effect, taken),
             )
 
-        self.environment.transmit(member.name, "resource", 60, arrive)
+        self.environment.transmit(member.name, "resource", EFFECT_BYTES, arrive)
 
     def deliver_answer(self, member: Member, owner: str, effect: Effect, taken: bool) -> None:
+        """Passes the resource's answer to the member, unless it has restarted since it sent the effect."""
+
         def finish() -> None:
             if member.fleet.owner_id == owner:
                 member.fleet.finish_effect(effect, taken, member.host.clock())
@@ -174,197 +222,240 @@
         """Samples whether any member reaches a majority of voting voters, in both directions and within the
         time of a round. Without one no member can own a duty."""
         now = self.environment.now
-        self.outages.sample(now, any(self._reaches_majority(one) for one in self.members))
-        self.environment.schedule(now + 25.0, self.sample_majority)
-
-    def _is_running(self, one: Member) -> bool:
-        return one.host.is_up and one.host.paused_until <= self.environment.now
-
-    def _reaches_majority(self, one: Member) -> bool:
-        now = self.environment.now
-
-        def through(a: Member, b: Member) -> bool:
-            until, more = self.environment.slow_links.get((a.name, b.name), (0.0, 0.0))
-            cut = self.environment.blocked_links.get((a.name, b.name), 0.0) > now
-            return a is b or not (cut or (until > now and more > 100.0))
-
+        self.outages.sample(now, any(self._reaches_majority(member) for member in self.members))
+        self.environment.schedule(now + MAJORITY_SAMPLING_INTERVAL_MS, self.sample_majority)
+
+    def _is_running(self, member: Member) -> bool:
+        return member.host.is_up and member.host.paused_until <= self.environment.now
+
+    def _is_link_usable(self, source: Member, target: Member) -> bool:
+        if source is target:
+            return True
+        now, link = self.environment.now, (source.name, target.name)
+        if self.environment.blocked_links.get(link, 0.0) > now:
+            return False
+        slow_until, slow_delay_ms = self.environment.slow_links.get(link, (0.0, 0.0))
+        return slow_until <= now or slow_delay_ms <= MAX_ROUND_LINK_DELAY_MS
+
+    def _reaches_majority(self, member: Member) -> bool:
         reached = [
-            (v.name, v.voter_host.voter.memory.identity)
-            for v in self.members
-            if v.voter_host is not None
-            and self._is_running(v)
-            and v.voter_host.voter.is_voting
-            and v.disk.full_until <= now
-            and through(one, v)
-            and through(v, one)
+            (peer.name, peer.voter_host.voter.memory.identity)
+            for peer in self.members
+            if peer.voter_host is not None
+            and self._is_running(peer)
+            and peer.voter_host.voter.is_voting
+            and peer.disk.full_until <= self.environment.now
+            and self._is_link_usable(member, peer)
+            and self._is_link_usable(peer, member)
         ]
-        return self._is_running(one) and self.roster().has_majority(reached)
+        return self._is_running(member) and self.newest_voter_set().has_majority(reached)
 
-    def roster(self) -> VoterSet:
+    def newest_voter_set(self) -> VoterSet:
         """Returns the newest voter set that any voter uses."""
-        return newest_voter_set(v.voter_host.voter for v in self.members if v.voter_host is not None)
+        return newest_voter_set(
+            member.voter_host.voter for member in self.members if member.voter_host is not None
+        )
 
     def voters(self) -> list[Member]:
-        names = self.roster().names
-        return [one for one in self.members if one.name in names]
+        """Returns the members of the newest voter set."""
+        names = self.newest_voter_set().names
+        return [member for member in self.members if member.name in names]
 
     # -- faults
 
-    def record_fault(self, kind: str, member_name: str, ms: float) -> None:
-        self.script.append((round(self.environment.now, 1), kind, member_name, round(ms, 1)))
+    def record_fault(self, kind: str, member_name: str, duration_ms: float) -> None:
+        """Adds a fault to the script of the play."""
+        self.script.append((round(self.environment.now, 1), kind, member_name, round(duration_ms, 1)))
 
     def inject_next_fault(self) -> None:
+        """Injects one random fault and schedules the next, until shortly before the end of the play."""
         environment, random = self.environment, self.environment.random
-        if environment.now > self.scenario.length_ms - 12_000.0:
-            return  # the recovery after the last fault is checked too
-        one = random.choice(self.members)
-        kind = random.choice(FAULTS + ("reseat",) * 8 if self.scenario.reseats else FAULTS)
-        ms = random.uniform(200.0, 3.0 * self.scenario.lease_ms)
-        others = [other for other in self.members if other is not one]
-        getattr(self, "_" + kind.replace("-", "_"))(one, others, ms)
-        self.record_fault(kind, one.name, ms)
-        environment.schedule(
-            environment.now + random.expovariate(1.0 / self.scenario.fault_interval_ms),
-            self.inject_next_fault,
-        )
-
-    def _restart_after(self, one: Member, ms: float) -> None:
+        if environment.now > self.scenario.length_ms - FAULTLESS_END_MS:
+            return
+        member = random.choice(self.members)
+        kinds = FAULTS + ("reseat",) * RESEAT_WEIGHT if self.scenario.replaces_voters else FAULTS
+        kind = random.choice(kinds)
+        duration_ms = random.uniform(MIN_FAULT_MS, MAX_FAULT_LEASES * self.scenario.lease_ms)
+        others = [other for other in self.members if other is not member]
+        # The method of a fault has its name, after an underscore.
+        getattr(self, "_" + kind.replace("-", "_"))(member, others, duration_ms)
+        self.record_fault(kind, member.name, duration_ms)
+        next_fault_at = environment.now + random.expovariate(1.0 / self.scenario.fault_interval_ms)
+        environment.schedule(next_fault_at, self.inject_next_fault)
+
+    def _restart_after(self, member: Member, down_ms: float) -> None:
         self.environment.schedule(
-            self.environment.now + ms, lambda: one.start() if not one.host.is_up else None
+            self.environment.now + down_ms, lambda: member.start() if not member.host.is_up else None
         )
 
-    def _kill(self, one: Member, _: list[Member], ms: float) -> None:
-        one.crash()
-        self._restart_after(one, ms)
+    def _kill(self, member: Member, _: list[Member], down_ms: float) -> None:
+        member.crash()
+        self._restart_after(member, down_ms)
 
-    def _stop(self, one: Member, _: list[Member], ms: float) -> None:
-        one.pause_for(ms)
+    def _stop(self, member: Member, _: list[Member], pause_ms: float) -> None:
+        member.pause_for(pause_ms)
 
-    def _cut(self, one: Member, others: list[Member], ms: float) -> None:
-        self._cut_in(one, others, ms)
-        self._cut_out(one, others, ms)
+    def _cut(self, member: Member, others: list[Member], duration_ms: float) -> None:
+        self._cut_in(member, others, duration_ms)
+        self._cut_out(member, others, duration_ms)
 
-    def _cut_in(self, one: Member, others: list[Member], ms: float) -> None:
+    def _cut_in(self, member: Member, others: list[Member], duration_ms: float) -> None:
+        """Blocks one direction: the member sends messages, and receives none."""
         for other in others:
-            self.environment.block_link(other.name, one.name, self.environment.now + ms)
+            self.environment.block_link(other.name, member.name, self.environment.now + duration_ms)
 
-    def _cut_out(self, one: Member, others: list[Member], ms: float) -> None:
+    def _cut_out(self, member: Member, others: list[Member], duration_ms: float) -> None:
         """Blocks one direction: the member receives messages, and its own are lost."""
         for other in others:
-            self.environment.block_link(one.name, other.name, self.environment.now + ms)
-
-    def _half(self, one: Member, others: list[Member], ms: float) -> None:
-        side = [one, *self.environment.random.sample(others, len(others) // 2)]
-        for a in self.members:
-            for b in self.members:
-                if (a in side) != (b in side):
-                    self.environment.block_link(a.name, b.name, self.environment.now + ms)
-
-    def _slow(self, one: Member, others: list[Member], ms: float) -> None:
+            self.environment.block_link(member.name, other.name, self.environment.now + duration_ms)
+
+    def _half(self, member: Member, others: list[Member], duration_ms: float) -> None:
+        """Partitions the members into two halves."""
+        partition = [member, *self.environment.random.sample(others, len(others) // 2)]
+        until = self.environment.now + duration_ms
+        for source in self.members:
+            for target in self.members:
+                if (source in partition) != (target in partition):
+                    self.environment.block_link(source.name, target.name, until)
+
+    def _slow(self, member: Member, others: list[Member], duration_ms: float) -> None:
         """Delays messages, at times by more than the lease."""
-        more = self.environment.random.uniform(50.0, 1.5 * self.scenario.lease_ms)
+        delay_ms = self.environment.random.uniform(
+            MIN_SLOW_LINK_DELAY_MS, MAX_SLOW_LINK_DELAY_LEASES * self.scenario.lease_ms
+        )
         for other in others:
-            for link in ((one.name, other.name), (other.name, one.name)):
-                self.environment.slow_links[link] = (self.environment.now + ms, more)
+            for link in ((member.name, other.name), (other.name, member.name)):
+                self.environment.slow_links[link] = (self.environment.now + duration_ms, delay_ms)
 
-    def _disk_full(self, one: Member, _: list[Member], ms: float) -> None:
-        one.disk.full_until = self.environment.now + ms
+    def _disk_full(self, member: Member, _: list[Member], duration_ms: float) -> None:
+        member.disk.full_until = self.environment.now + duration_ms
 
     def _all_vote(self) -> bool:
         """Only one voter may lose its state at a time: what two have lost together cannot be recovered, and
         the register correctly stops for good."""
-        voters = self.voters()
-        return all(v.host.is_up and v.voter_host is not None and v.voter_host.voter.is_voting for v in voters)
+        return all(
+            voter.host.is_up and voter.voter_host is not None and voter.voter_host.voter.is_voting
+            for voter in self.voters()
+        )
 
-    def _lost_disk(self, one: Member, _: list[Member], ms: float) -> None:
+    def _lost_disk(self, member: Member, _: list[Member], down_ms: float) -> None:
         all_vote = self._all_vote()
-        one.crash()
+        member.crash()
         if all_vote:
-            one.disk.image = None
-        self._restart_after(one, ms)
+            member.disk.image = None
+        self._restart_after(member, down_ms)
 
-    def _old_disk(self, one: Member, _: list[Member], ms: float) -> None:
+    def _old_disk(self, member: Member, _: list[Member], down_ms: float) -> None:
         all_vote = self._all_vote()
-        one.crash()
-        if one.disk.older_images and all_vote:
-            one.disk.image = self.environment.random.choice(one.disk.older_images)
-        self._restart_after(one, ms)
+        member.crash()
+        if member.disk.older_images and all_vote:
+            member.disk.image = self.environment.random.choice(member.disk.older_images)
+        self._restart_after(member, down_ms)
 
-    def _reseat(self, one: Member, _: list[Member], ms: float) -> None:
+    def _reseat(self, member: Member, _: list[Member], __: float) -> None:
         """Replaces a voter by a member, which may be the same, as an operator at this member would."""
-        if one.host.is_up and one.host.paused_until <= self.environment.now:
+        if self._is_running(member):
             voters = self.voters()
             drop = self.environment.random.choice(voters)
-            add = self.environment.random.choice(
-                [drop, *(other for other in self.members if other not in voters)]
+            candidates = [drop, *(other for other in self.members if other not in voters)]
+            add = self.environment.random.choice(candidates)
+            member.fleet.replace_voters(
+                [drop.name], [add.name], self.finish_reconfiguration, member.host.clock()
             )
-            one.fleet.replace_voters([drop.name], [add.name], self.reseated, one.host.clock())
-            one.tick()
+            member.tick()
 
-    def reseated(self, how: ReconfigurationResult) -> None:
-        self.voters_changed += not how.error
+    def finish_reconfiguration(self, result: ReconfigurationResult) -> None:
+        """Counts a completed reconfiguration."""
+        self.voters_changed += not result.error
 
-    def _leave(self, one: Member, _: list[Member], ms: float) -> None:
-        if one.host.is_up and one.host.paused_until <= self.environment.now:
-            one.fleet.leave(one.host.clock())
-            one.tick()
+    def _leave(self, member: Member, _: list[Member], down_ms: float) -> None:
+        if self._is_running(member):
+            member.fleet.leave(member.host.clock())
+            member.tick()
             self.environment.schedule(
-                self.environment.now + 400.0, lambda: one.crash() if one.fleet.is_leaving else None
+                self.environment.now + DRAIN_MS,
+                lambda: member.crash() if member.fleet.is_leaving else None,
             )
-            self._restart_after(one, 400.0 + ms)
+            self._restart_after(member, DRAIN_MS + down_ms)
 
-    def _all_voters(self, one: Member, _: list[Member], ms: float) -> None:
+    def _all_voters(self, _: Member, __: list[Member], duration_ms: float) -> None:
+        """Restarts all voters, each after its own time."""
         for voter in self.voters():
             voter.crash()
-            self._restart_after(voter, ms * (0.2 + 0.1 * self.environment.random.random()))
+            down_share = MIN_VOTER_DOWN_SHARE + VOTER_DOWN_SPREAD * self.environment.random.random()
+            self._restart_after(voter, duration_ms * down_share)
 
-    def _clock(self, one: Member, _: list[Member], ms: float) -> None:
+    def _clock(self, member: Member, _: list[Member], __: float) -> None:
         """Steps the wall clock by an hour, back or ahead."""
-        one.host.wall_clock_step_ms += self.environment.random.choice([-3_600_000.0, 3_600_000.0])
+        step_ms = self.environment.random.choice([-WALL_CLOCK_STEP_MS, WALL_CLOCK_STEP_MS])
+        member.host.wall_clock_step_ms += step_ms
 
-    def _flap(self, one: Member, others: list[Member], ms: float) -> None:
-        for i in range(12):
-            self.environment.schedule(self.environment.now + 350.0 * i, lambda: self._cut(one, others, 170.0))
+    def _flap(self, member: Member, others: list[Member], _: float) -> None:
+        """Cuts the member off for short times, repeatedly."""
+        for i in range(FLAPS):
+            self.environment.schedule(
+                self.environment.now + FLAP_INTERVAL_MS * i, lambda: self._cut(member, others, FLAP_CUT_MS)
+            )
 
     # -- results
 
     def run(self) -> PlayResult:
         """Runs the whole play and computes its figures."""
-        scenario, resource = self.scenario, self.resource
-        self.environment.run(scenario.length_ms)
-        names = [schedule.name for schedule in self.config.schedules]
-        # An owner does a step each interval. A longer gap is unowned time, beyond a few tries.
-        usual = 3.0 * scenario.step_interval_ms
-        gaps = resource.gaps(4000.0, scenario.length_ms, names)
-        unowned = sum(max(0.0, self.outages.available_ms(a, b) - usual) for a, b in gaps)
-        changes = self._changes(names)
-        takeovers = sorted(self.outages.available_ms(a, b) for a, b in changes)
-        p95 = takeovers[int(0.95 * (len(takeovers) - 1))] if takeovers else 0.0
-        last = {name: max((t.at for t in resource.applied if t.duty == name), default=0.0) for name in names}
-        figures: dict[str, float] = {
+        self.environment.run(self.scenario.length_ms)
+        figures = self._figures()
+        trace = [
+            (round(effect.at, 3), effect.duty, effect.epoch, effect.step, effect.owner)
+            for effect in self.resource.applied
+        ]
+        violations = [f"{key} {figures[key]:g}" for key, most in FIGURE_LIMITS.items() if figures[key] > most]
+        return PlayResult(self.seed, figures, self.script, trace, "; ".join(violations))
+
+    def _figures(self) -> dict[str, float]:
+        length_ms = self.scenario.length_ms
+        duties = [schedule.name for schedule in self.config.schedules]
+        owner_changes = self._owner_changes(duties)
+        unowned_share = self._unowned_ms(duties) / ((length_ms - START_UP_MS) * len(duties))
+        messages_a_member = self.environment.message_count / len(self.members)
+        return {
             "acting_at_once": max_concurrent_actors(self.actions),
-            **resource.figures(),
-            "takeover_s": round(p95 / 1000.0, 3),
-            "unowned_share": round(unowned / ((scenario.length_ms - 4000.0) * len(names)), 4),
-            "owner_changes": len(changes),
-            "majority_away_share": round(self.outages.total_ms() / scenario.length_ms, 4),
+            **self.resource.figures(),
+            "takeover_s": round(self._takeover_p95_ms(owner_changes) / 1000.0, 3),
+            "unowned_share": round(unowned_share, 4),
+            "owner_changes": len(owner_changes),
+            "majority_away_share": round(self.outages.total_ms() / length_ms, 4),
             "voters_changed": self.voters_changed,
-            "stuck": sum(scenario.length_ms - at > 3000.0 for at in last.values()),
+            "stuck": self._stuck_duties(duties),
             "faults": len(self.script),
-            "messages_a_member_a_second": round(
-                self.environment.message_count / len(self.members) / scenario.length_ms * 1000.0, 1
-            ),
+            "messages_a_member_a_second": round(messages_a_member / length_ms * 1000.0, 1),
         }
-        trace = [(round(t.at, 3), t.duty, t.epoch, t.step, t.owner) for t in resource.applied]
-        wrong = [f"{key} {figures[key]:g}" for key, most in FIGURE_LIMITS.items() if figures[key] > most]
-        return PlayResult(self.seed, figures, self.script, trace, "; ".join(wrong))
 
-    def _changes(self, names: list[str]) -> list[tuple[float, float]]:
+    def _unowned_ms(self, duties: list[str]) -> float:
+        """An owner does a step each interval. A longer gap is unowned time, beyond a few tries."""
+        usual_ms = USUAL_GAP_STEPS * self.scenario.step_interval_ms
+        gaps = self.resource.gaps(START_UP_MS, self.scenario.length_ms, duties)
+        return sum(max(0.0, self.outages.available_ms(begin, end) - usual_ms) for begin, end in gaps)
+
+    def _takeover_p95_ms(self, owner_changes: list[tuple[float, float]]) -> float:
+        takeovers = sorted(self.outages.available_ms(begin, end) for begin, end in owner_changes)
+        return takeovers[int(0.95 * (len(takeovers) - 1))] if takeovers else 0.0
+
+    def _stuck_duties(self, duties: list[str]) -> int:
+        last_steps = [
+            max((effect.at for effect in self.resource.applied if effect.duty == duty), default=0.0)
+            for duty in duties
+        ]
+        return sum(self.scenario.length_ms - at > STUCK_AFTER_MS for at in last_steps)
+
+    def _owner_changes(self, duties: list[str]) -> list[tuple[float, float]]:
         """Returns for each change of owner the last effect of the old owner and the first of the new one."""
         found: list[tuple[float, float]] = []
-        for name in names:
-            mine = [t for t in self.resource.applied if t.duty == name]
-            found += [(a.at, b.at) for a, b in pairwise(mine) if a.owner != b.owner]
+        for duty in duties:
+            effects = [effect for effect in self.resource.applied if effect.duty == duty]
+            found += [
+                (previous.at, current.at)
+                for previous, current in pairwise(effects)
+                if previous.owner != current.owner
+            ]
         return found
 
 
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -66,7 +66,7 @@
 
 
 def test_one_owner_at_a_time_while_voters_are_replaced() -> None:
-    played = play(1, Scenario(length_ms=45_000.0, reseats=True))
+    played = play(1, Scenario(length_ms=45_000.0, replaces_voters=True))
     assert not played.violations and played.figures["stuck"] == 0
     assert played.figures["voters_changed"] >= 3
 
