--- a/rig/multi_node/chart.py
+++ b/rig/multi_node/chart.py
@@ -12,6 +12,8 @@
 from rig.multi_node.ownership_experiment import PlayResult
 
 MIN_GAP_S = 0.6  # longer intervals without a step are drawn as a gap
+MIN_BAR_S = 0.05  # keeps a single step visible
+BAR_HEIGHT = 0.7  # of the distance between two duties
 
 
 def draw(played: PlayResult, out: Path, title: str) -> None:
@@ -21,18 +23,21 @@
     colour = {name: plt.get_cmap("tab10")(i % 10) for i, name in enumerate(members)}
     figure, axes = plt.subplots(figsize=(12, 1.4 + 0.7 * len(duties)))
     for row, duty in enumerate(duties):
-        taken = [(at / 1000.0, owner) for at, name, _, _, owner in played.trace if name == duty]
-        begin, last, owner = taken[0][0], taken[0][0], taken[0][1]
-        for at, who in [*taken[1:], (float("inf"), "")]:
-            if who != owner or at - last > MIN_GAP_S:
+        steps = [(at / 1000.0, owner) for at, name, _, _, owner in played.trace if name == duty]
+        begin, owner = steps[0]
+        last = begin
+        for at, next_owner in [*steps[1:], (float("inf"), "")]:
+            if next_owner != owner or at - last > MIN_GAP_S:
                 axes.broken_barh(
-                    [(begin, max(0.05, last - begin))], (row - 0.35, 0.7), color=colour[owner.split("/")[0]]
+                    [(begin, max(MIN_BAR_S, last - begin))],
+                    (row - BAR_HEIGHT / 2, BAR_HEIGHT),
+                    color=colour[owner.split("/")[0]],
                 )
-                begin, owner = at, who
+                begin, owner = at, next_owner
             last = at
-    for at, kind, whom, _ in played.script:
+    for at, kind, member, _ in played.script:
         axes.axvline(at / 1000.0, color="grey", linewidth=0.5, zorder=0)
-        axes.text(at / 1000.0, len(duties) - 0.4, f"{kind} {whom}", rotation=60, fontsize=6, va="bottom")
+        axes.text(at / 1000.0, len(duties) - 0.4, f"{kind} {member}", rotation=60, fontsize=6, va="bottom")
     axes.set_yticks(range(len(duties)), duties)
     axes.set_xlabel("s")
     for name in members:
--- a/rig/multi_node/member.py
+++ b/rig/multi_node/member.py
@@ -62,7 +62,10 @@
         send: Callable[[str, Message], None],
         flush_ms: float,
     ) -> None:
-        self.host, self.disk, self.send, self.flush_ms = host, disk, send, flush_ms
+        self.host = host
+        self.disk = disk
+        self.send = send
+        self.flush_ms = flush_ms
         memory = decode(disk.image) if disk.image is not None else None
         instance_id = f"{host.name}/{host.incarnation}"
         self.voter = Voter(
@@ -113,7 +116,8 @@
         if self.disk.pending_image is not None:
             if self.disk.image is not None and self.host.environment.random.random() < OLDER_IMAGE_SHARE:
                 self.disk.older_images.append(self.disk.image)
-            self.disk.image, self.disk.pending_image = self.disk.pending_image, None
+            self.disk.image = self.disk.pending_image
+            self.disk.pending_image = None
         for to, message in answers:
             self.send(to, message)
         if self.pending_requests:
@@ -152,7 +156,8 @@
     def start(self, disk_is_trusted: bool = False) -> None:
         """Starts a new incarnation of the process with the state on its disk."""
         environment, host = self.environment, self.host
-        host.is_up, host.incarnation = True, host.incarnation + 1
+        host.is_up = True
+        host.incarnation += 1
         now = host.clock()
         me = MemberUpdate(self.name, ADDRESS, self.zone, host.incarnation, State.ALIVE)
         seeds = {name: ADDRESS for name in self.names}
@@ -166,12 +171,13 @@
 
     def crash(self) -> None:
         """Ends the process at once."""
-        self.host.is_up, self.host.incarnation = False, self.host.incarnation + 1
+        self.host.is_up = False
+        self.host.incarnation += 1
         self.disk.crash(self.environment.random.random() < RENAME_DONE_SHARE)
 
-    def pause_for(self, ms: float) -> None:
+    def pause_for(self, duration_ms: float) -> None:
         """Pauses the process, as SIGSTOP does."""
-        self.host.paused_until = max(self.host.paused_until, self.environment.now + ms)
+        self.host.paused_until = max(self.host.paused_until, self.environment.now + duration_ms)
 
     def send(self, to: str, message: Message) -> None:
         """Sends a message to another member, or to this one."""
--- a/rig/multi_node/planted_faults.py
+++ b/rig/multi_node/planted_faults.py
@@ -21,7 +21,8 @@
     setattr(owner, name, make(getattr(owner, name)))
 
 
-def _each_start(simulation: Simulation, change: Callable[[Member], None]) -> None:
+def _after_each_start(simulation: Simulation, change: Callable[[Member], None]) -> None:
+    """Applies a change to each member whenever it has started."""
     for member in simulation.members:
 
         def make(start: Any, member: Member = member) -> Any:
@@ -34,51 +35,54 @@
         replace_method(member, "start", make)
 
 
-def _each_duty(simulation: Simulation, name: str, make: Callable[[Any, Any], Any]) -> None:
+def _replace_duty_method(simulation: Simulation, name: str, make: Callable[[Any, Any], Any]) -> None:
+    """Replaces a method of each duty by what `make` returns for the duty and its original method."""
+
     def change(member: Member) -> None:
         for duty in member.fleet.duties.values():
             replace_method(duty, name, partial(make, duty))
 
-    _each_start(simulation, change)
+    _after_each_start(simulation, change)
 
 
-def _wall(host: Host, clock: Callable[[], float]) -> float:
+def _wall_clock(host: Host, clock: Callable[[], float]) -> float:
     return clock() + host.wall_clock_step_ms
 
 
-def _true(host: Host, true: Callable[[float], float], local: float) -> float:
-    return true(local - host.wall_clock_step_ms)
+def _wall_to_true_time(host: Host, true_time: Callable[[float], float], wall: float) -> float:
+    return true_time(wall - host.wall_clock_step_ms)
 
 
 def wall_time(simulation: Simulation) -> None:
     """Measures leases on the wall clock, which can be stepped."""
     for member in simulation.members:
         host = member.host
-        replace_method(host, "clock", partial(partial, _wall, host))
-        replace_method(host, "true_time", partial(partial, _true, host))
+        replace_method(host, "clock", partial(partial, _wall_clock, host))
+        replace_method(host, "true_time", partial(partial, _wall_to_true_time, host))
 
 
 def epoch_from_memory(simulation: Simulation) -> None:
     """Takes each duty with epoch 1 instead of the epoch after the record's."""
 
-    def make(duty: Any, want: Any) -> Any:
-        def wanted(now: float, fit: bool, owned: int) -> Any:
-            asked = want(now, fit, owned)
-            if isinstance(asked, WriteRecord) and duty.epoch is None and asked.lease.owner:
-                lease = asked.lease
-                return WriteRecord(
-                    asked.expected, Lease(lease.owner, 1, lease.attempt, lease.successor, lease.progress)
-                )
-            return asked
+    def make(duty: Any, original: Any) -> Any:
+        def next_request(now: float, is_eligible: bool, owned: int) -> Any:
+            request = original(now, is_eligible, owned)
+            if isinstance(request, WriteRecord) and duty.epoch is None and request.lease.owner:
+                lease = request.lease
+                first_epoch = Lease(lease.owner, 1, lease.attempt, lease.successor, lease.progress)
+                return WriteRecord(request.expected, first_epoch)
+            return request
 
-        return wanted
+        return next_request
 
-    _each_duty(simulation, "next_request", make)
+    _replace_duty_method(simulation, "next_request", make)
 
 
 def no_look_on_waking(simulation: Simulation) -> None:
     """Does not check the lease after a pause: an owner goes on as owner."""
-    _each_duty(simulation, "owns", lambda duty, _: lambda now: duty.epoch if duty.successor is None else None)
+    _replace_duty_method(
+        simulation, "owns", lambda duty, _: lambda now: duty.epoch if duty.successor is None else None
+    )
 
 
 def voter_forgets(simulation: Simulation) -> None:
