--- a/rig/multi_node/reconfiguration_fuzz.py
+++ b/rig/multi_node/reconfiguration_fuzz.py
@@ -44,12 +44,13 @@
 
 CALL_START_PROBABILITY = 0.03  # for each event; leaves time for reconfigurations between other calls
 TIMEOUT_IN_FLIGHT_PROBABILITY = 0.05  # that calls time out while their messages are in flight
-REJOIN_REQUEST_PROBABILITY = 0.05  # for each event and voter without its state
+REJOIN_REQUEST_PROBABILITY = 0.05  # for each event and voter that has to rejoin
 MIN_VOTERS_REACHED = 2
 MIN_VOTERS_REACHED_BY_RECONFIGURING_CALLER = 3
 
-# Kinds of events: each has the share of events between the limit before it and its own. The events above
-# the last limit have no effect of their own.
+# Kinds of events: each has the share of events between the limit before it and its own. Without a message in
+# flight, deliveries and losses become timeouts. Events above the last limit have no effect of their own, nor
+# has the loss of state in plays without it.
 DELIVERY_BELOW = 0.80
 LOSS_BELOW = 0.86
 TIMEOUT_BELOW = 0.95
